--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -1,61 +1,62 @@
-//! Whether a request is taken on, and when a refused one may come back.
+//! Admission control and the `Retry-After` of refused requests.
 //!
-//! Load pattern: bursts of long prompts that exceed what the engines can read for seconds. A
-//! request that cannot be answered within its deadline, or would wait long behind others, is
-//! refused at once, while its caller still has time, and before it takes engine time from requests
-//! that can be answered on time. The wait is what counts and not the request's own size, so that
-//! the largest requests are not shut out by being large. Callers that are refused together are
-//! told different times, so that they do not return together.
+//! The load it is made for: bursts of long prompts that exceed the engines' prefill capacity for
+//! seconds. A request that cannot be answered before its deadline, or that would wait too long in
+//! the queue, is refused at once, while its caller still has time to retry and before it takes
+//! engine time from requests that can be answered on time. The limit applies to the time in the
+//! queue and not to the request's own duration, so that large requests are not refused for their
+//! size. `Retry-After` is jittered, so that callers refused together do not retry together.
 
 use std::time::Duration;
 
-/// Longest wait behind others, relative to the time that counts as on time.
-const WAIT_FACTOR: f64 = 0.8;
-/// Part of the time left by which the last event is expected.
-const LEFT_PART: f64 = 0.75;
-/// Part of the time without an event that callers bear in which the first one is expected.
-const SILENCE_PART: f64 = 0.9;
-/// Least time until a refused request may come back.
-const LEAST_RETURN_MS: f64 = 100.0;
-/// Range over which the returns of refused requests are spread.
-const RETURN_SPREAD_MS: f64 = 400.0;
-/// Part of the time left after which a return is of no use any more.
-const RETURN_PART: f64 = 0.33;
+/// Longest wait in the queue, as a fraction of the latency objective.
+const WAIT_FRACTION: f64 = 0.8;
+/// Fraction of the time left within which the last event must be expected.
+const COMPLETION_FRACTION: f64 = 0.75;
+/// Fraction of the event timeout within which the first event must be expected.
+const FIRST_EVENT_FRACTION: f64 = 0.9;
+/// Least `Retry-After` of a refused request.
+const MIN_RETRY_AFTER_MS: f64 = 100.0;
+/// Range of the jitter added to `Retry-After`.
+const RETRY_JITTER_MS: f64 = 400.0;
+/// Fraction of the time left that bounds `Retry-After`; a later retry could not be answered.
+const RETRY_AFTER_FRACTION: f64 = 0.33;
 
-/// What is known of a request that asks to be taken on.
+/// Expected times of a request on the engine chosen for it, and its limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Prospect {
+pub struct LatencyEstimate {
     /// Expected time from now to the first event.
     pub first_event_ms: f64,
-    /// Part of it that is spent behind other requests.
+    /// Part of `first_event_ms` spent in the queue behind other prefills.
     pub wait_ms: f64,
     /// Expected time from the first to the last event.
     pub events_ms: f64,
-    /// Time from now within which the first event is on time; negative when it is late already.
-    pub aim_left_ms: f64,
-    /// Time within which it is on time for a request that has just arrived.
-    pub aim_ms: f64,
-    /// Time until the caller gives up.
+    /// Part of `objective_ms` that is left; negative if the request is already late.
+    pub objective_left_ms: f64,
+    /// Latency objective: time from arrival to the first event.
+    pub objective_ms: f64,
+    /// Time until the request's deadline.
     pub left_ms: f64,
-    /// Time without an event after which it gives up earlier.
-    pub silence_left_ms: f64,
+    /// Time from now until the caller gives up if it has got no event by then.
+    pub event_timeout_left_ms: f64,
 }
 
-/// Whether to take a request on.
+/// Whether to admit a request.
 #[must_use]
-pub fn is_admitted(prospect: &Prospect) -> bool {
-    let is_on_time = prospect.first_event_ms <= prospect.aim_left_ms;
-    let is_short_wait = prospect.wait_ms <= prospect.aim_ms * WAIT_FACTOR;
-    let last_event_ms = prospect.first_event_ms + prospect.events_ms;
-    let is_heard = prospect.first_event_ms <= prospect.silence_left_ms * SILENCE_PART;
-    let is_whole = last_event_ms <= prospect.left_ms * LEFT_PART;
-    (is_on_time || is_short_wait) && is_heard && is_whole
+pub fn is_admitted(estimate: &LatencyEstimate) -> bool {
+    let is_on_time = estimate.first_event_ms <= estimate.objective_left_ms;
+    let has_short_wait = estimate.wait_ms <= estimate.objective_ms * WAIT_FRACTION;
+    let last_event_ms = estimate.first_event_ms + estimate.events_ms;
+    let is_first_event_in_time =
+        estimate.first_event_ms <= estimate.event_timeout_left_ms * FIRST_EVENT_FRACTION;
+    let is_complete_in_time = last_event_ms <= estimate.left_ms * COMPLETION_FRACTION;
+    (is_on_time || has_short_wait) && is_first_event_in_time && is_complete_in_time
 }
 
-/// When a refused request may come back; `draw` is uniform in 0 to 1.
+/// `Retry-After` of a refused request; `draw` is a random number from 0 to 1.
 #[must_use]
-pub fn return_after(prospect: &Prospect, draw: f64) -> Duration {
-    let wait_ms = prospect.wait_ms.max(LEAST_RETURN_MS) + draw * RETURN_SPREAD_MS;
-    let longest_ms = (prospect.left_ms * RETURN_PART).max(LEAST_RETURN_MS);
+pub fn retry_after(estimate: &LatencyEstimate, draw: f64) -> Duration {
+    let wait_ms = estimate.wait_ms.max(MIN_RETRY_AFTER_MS) + draw * RETRY_JITTER_MS;
+    let longest_ms = (estimate.left_ms * RETRY_AFTER_FRACTION).max(MIN_RETRY_AFTER_MS);
     Duration::from_secs_f64(wait_ms.min(longest_ms) / 1e3)
 }
--- a/components/gateway/src/core/active.rs
+++ b/components/gateway/src/core/active.rs
@@ -1,4 +1,4 @@
-//! A request that has not ended.
+//! State of a request in flight.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,37 +19,37 @@
 use crate::protocol::Transfer;
 
 #[derive(Debug)]
-pub(super) struct Current {
+pub(super) struct CurrentCall {
     pub(super) target: TargetName,
     pub(super) key: TargetKey,
     pub(super) load: Load,
     pub(super) started: Instant,
-    /// Time that earlier readings were expected to take there.
+    /// Expected time for the prompts queued at the target before this call.
     pub(super) waiting_ms: f64,
     pub(super) is_prefill: bool,
     pub(super) transfer: Option<Transfer>,
 }
 
-impl Current {
-    /// The target has read the prompt.
-    pub(super) fn has_read(&mut self, now: Instant, fleet: &mut Fleet) {
-        let reading_ms = std::mem::take(&mut self.load.reading_ms);
-        if reading_ms <= 0.0 {
+impl CurrentCall {
+    /// Moves the prefill from the target's load to its measured speed; later calls do nothing.
+    pub(super) fn prefill_finished(&mut self, now: Instant, fleet: &mut Fleet) {
+        let prefill_ms = std::mem::take(&mut self.load.prefill_ms);
+        if prefill_ms <= 0.0 {
             return;
         }
-        let read = Load {
-            reading_ms,
+        let finished = Load {
+            prefill_ms,
             runs: 0.0,
         };
-        fleet.end(now, &self.target, self.key, read);
+        fleet.remove_load(now, &self.target, self.key, finished);
         let took = now.saturating_duration_since(self.started);
         let took_ms = took.as_secs_f64() * 1e3;
-        fleet.has_read(&self.target, reading_ms, self.waiting_ms, took_ms);
+        fleet.record_prefill_time(&self.target, prefill_ms, self.waiting_ms, took_ms);
     }
 }
 
 #[derive(Debug)]
-pub(super) struct Active {
+pub(super) struct ActiveRequest {
     pub(super) request: Rc<CallerRequest>,
     pub(super) route: Rc<Route>,
     pub(super) service: ServiceName,
@@ -57,21 +57,21 @@
     pub(super) hashes: SmallVec<[PrefixHash; 4]>,
     pub(super) received: Instant,
     pub(super) deadline: Instant,
-    pub(super) refused_by: SmallVec<[TargetName; 4]>,
-    /// Calls that count as arrivals at the service.
+    pub(super) tried_targets: SmallVec<[TargetName; 4]>,
+    /// Calls that reached the service; each one after the first counts as a retry.
     pub(super) arrivals: u32,
     pub(super) calls: u32,
-    /// Calls that may have run.
+    /// Calls that may have run the request; bounded by the route's `attempt_limit`.
     pub(super) runs: u32,
     pub(super) prefills: u32,
-    pub(super) current: Option<Current>,
+    pub(super) current: Option<CurrentCall>,
     pub(super) transfer: Option<Transfer>,
     pub(super) last_event: Option<String>,
     pub(super) first_ms: Option<u64>,
 }
 
-impl Active {
-    pub(super) fn left(&self, now: Instant) -> Duration {
+impl ActiveRequest {
+    pub(super) fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
--- a/components/gateway/src/core/conclude.rs
+++ b/components/gateway/src/core/conclude.rs
@@ -1,78 +1,93 @@
-//! What the end of a call means for its target and its request.
+//! Updates a target's health and a request's state when a call ends.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::core::Core;
-use crate::core::LEAST_CALL_MS;
+use crate::core::MIN_CALL_MS;
 use crate::core::RequestNumber;
-use crate::core::active::Active;
-use crate::core::active::Current;
+use crate::core::active::ActiveRequest;
+use crate::core::active::CurrentCall;
+use crate::core::decision::CallOutcome;
 use crate::core::decision::Decision;
 use crate::core::decision::Ending;
-use crate::core::decision::Outcome;
 use crate::core::millis;
 use crate::core::plan;
 use crate::deployment::Repeat;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 use crate::protocol::Transfer;
 
-/// Time without an answer that speaks against a target; the sheets give plain requests some ten
-/// milliseconds of work.
-const SILENCE_MS: Duration = Duration::from_millis(500);
+/// Least time without an answer that counts as a failure of the target. The data sheets give plain
+/// requests about ten milliseconds of work.
+const MIN_FAILURE_TIMEOUT_MS: Duration = Duration::from_millis(500);
 
 impl Core {
-    /// A call has ended; returns what to do next.
-    pub fn outcome(&mut self, now: Instant, number: RequestNumber, outcome: Outcome) -> Decision {
+    /// Records the end of a call and returns what to do next.
+    pub fn call_ended(
+        &mut self,
+        now: Instant,
+        number: RequestNumber,
+        outcome: CallOutcome,
+    ) -> Decision {
         let Some(mut active) = self.requests.remove(&number) else {
             return Decision::End(Ending::Done);
         };
         let mut call = active.current.take();
         if let Some(call) = &mut call {
-            if matches!(outcome, Outcome::Prefilled(_)) {
-                call.has_read(now, &mut self.fleet);
+            if matches!(outcome, CallOutcome::Prefilled(_)) {
+                call.prefill_finished(now, &mut self.fleet);
             }
-            self.fleet.end(now, &call.target, call.key, call.load);
-            self.learn(now, &active, call, &outcome);
+            self.fleet
+                .remove_load(now, &call.target, call.key, call.load);
+            self.record_outcome(now, &active, call, &outcome);
         }
-        let ending = self.conclude(now, &mut active, call, &outcome);
+        let ending = self.update_request(now, &mut active, call, &outcome);
         if let Some(ending) = ending {
             self.finish(now, active, ending, &outcome);
             return Decision::End(ending);
         }
         self.requests.insert(number, active);
-        self.next(now, number)
+        self.next_decision(now, number)
     }
 
-    /// What a call's outcome says of its target.
-    fn learn(&mut self, now: Instant, active: &Active, call: &Current, outcome: &Outcome) {
+    /// Updates the health of the call's target and logs the outcome.
+    fn record_outcome(
+        &mut self,
+        now: Instant,
+        active: &ActiveRequest,
+        call: &CurrentCall,
+        outcome: &CallOutcome,
+    ) {
         let took = now.saturating_duration_since(call.started);
         let target = &call.target;
         match outcome {
-            Outcome::Prefilled(_) => self.fleet.succeeded(target),
-            Outcome::Answered { status } if *status < 500 => self.fleet.succeeded(target),
-            Outcome::NotRun {
+            CallOutcome::Prefilled(_) => self.fleet.record_success(target),
+            CallOutcome::Answered { status } if *status < 500 => self.fleet.record_success(target),
+            CallOutcome::NotRun {
                 is_other_process: true,
                 ..
             }
-            | Outcome::NotSent { .. } => self.fleet.unreachable(now, target),
-            // A route may give a request less time than its work takes.
-            Outcome::TimedOut { is_started: false } if took < SILENCE_MS => {}
-            Outcome::Answered { .. }
-            | Outcome::Failed { .. }
-            | Outcome::Lost { .. }
-            | Outcome::Broken { .. }
-            | Outcome::Silent
-            | Outcome::TimedOut { is_started: false } => {
-                let belief = self.fleet.failed(now, target);
-                self.believe(target.clone(), belief);
+            | CallOutcome::NotSent { .. } => self.fleet.record_unreachable(now, target),
+            // The route may give the request less time than its work takes.
+            CallOutcome::TimedOut { is_started: false } if took < MIN_FAILURE_TIMEOUT_MS => {}
+            CallOutcome::Answered { .. }
+            | CallOutcome::Failed { .. }
+            | CallOutcome::AnswerLost { .. }
+            | CallOutcome::Broken { .. }
+            | CallOutcome::HeadTimedOut
+            | CallOutcome::TimedOut { is_started: false } => {
+                let change = self.fleet.record_failure(now, target);
+                self.log_target_change(target.clone(), change);
             }
-            Outcome::TimedOut { .. } | Outcome::NotRun { .. } | Outcome::Abandoned => {}
+            CallOutcome::TimedOut { .. } | CallOutcome::NotRun { .. } | CallOutcome::Abandoned => {}
         }
-        if matches!(outcome, Outcome::Answered { .. } | Outcome::Abandoned) {
+        if matches!(
+            outcome,
+            CallOutcome::Answered { .. } | CallOutcome::Abandoned
+        ) {
             return;
         }
-        self.notes.push(Note::CallEnded {
+        self.log_events.push(LogEvent::CallEnded {
             request: active.request.id.clone(),
             target: target.clone(),
             outcome: outcome.to_string(),
@@ -80,82 +95,87 @@
         });
     }
 
-    /// Brings a request up to date after a call; `Some` if that ends it.
-    fn conclude(
+    /// Updates the request after a call; `Some` if the outcome ends it.
+    fn update_request(
         &mut self,
         now: Instant,
-        active: &mut Active,
-        call: Option<Current>,
-        outcome: &Outcome,
+        active: &mut ActiveRequest,
+        call: Option<CurrentCall>,
+        outcome: &CallOutcome,
     ) -> Option<Ending> {
         let is_run = call.as_ref().is_some_and(|call| !call.is_prefill);
-        if !is_run && matches!(outcome, Outcome::NotRun { .. }) {
+        if !is_run && matches!(outcome, CallOutcome::NotRun { .. }) {
             active.arrivals += 1;
         }
         let target = call.as_ref().map(|call| call.target.clone());
         let transfer = call.and_then(|call| call.transfer);
-        if is_run && !matches!(outcome, Outcome::NotRun { .. } | Outcome::NotSent { .. }) {
+        if is_run
+            && !matches!(
+                outcome,
+                CallOutcome::NotRun { .. } | CallOutcome::NotSent { .. }
+            )
+        {
             active.runs += 1;
         } else if let Some(transfer) = transfer {
-            // The memory may still be there, but a second attempt to use it would rarely succeed.
-            self.releases.push(transfer);
+            // The engine may still hold the KV cache, but a second transfer would rarely succeed.
+            self.unused_transfers.push(transfer);
         }
         match outcome {
-            Outcome::Answered { .. } | Outcome::Abandoned => return Some(Ending::Done),
-            Outcome::TimedOut { is_started: true } => return Some(Ending::Cut),
-            Outcome::TimedOut { .. } => {
+            CallOutcome::Answered { .. } | CallOutcome::Abandoned => return Some(Ending::Done),
+            CallOutcome::TimedOut { is_started: true } => return Some(Ending::Cut),
+            CallOutcome::TimedOut { .. } => {
                 return Some(Ending::Fail {
                     status: 504,
-                    detail: "no answer within the time of the request",
+                    detail: "no answer before the request's deadline",
                 });
             }
-            Outcome::Prefilled(prefilled) => {
-                let member = target.as_ref().and_then(|target| self.fleet.get(target));
-                active.transfer = member.map(|member| Transfer {
-                    holder: member.entry.name.clone(),
-                    address: member.entry.address,
+            CallOutcome::Prefilled(prefilled) => {
+                let state = target.as_ref().and_then(|target| self.fleet.get(target));
+                active.transfer = state.map(|state| Transfer {
+                    holder: state.entry.name.clone(),
+                    address: state.entry.address,
                     name: prefilled.name.clone(),
                 });
                 return None;
             }
-            Outcome::Broken { last_event, .. } => {
+            CallOutcome::Broken { last_event, .. } => {
                 if last_event.is_some() {
                     active.last_event.clone_from(last_event);
                 }
             }
-            Outcome::NotRun { .. }
-            | Outcome::NotSent { .. }
-            | Outcome::Lost { .. }
-            | Outcome::Failed { .. }
-            | Outcome::Silent => {}
+            CallOutcome::NotRun { .. }
+            | CallOutcome::NotSent { .. }
+            | CallOutcome::AnswerLost { .. }
+            | CallOutcome::Failed { .. }
+            | CallOutcome::HeadTimedOut => {}
         }
-        active.refused_by.extend(target);
-        // Also after a call that was to continue the stream and did not.
+        active.tried_targets.extend(target);
+        // Also true after a call that was to resume the stream and did not.
         let is_started = active.last_event.is_some()
             || matches!(
                 outcome,
-                Outcome::Broken {
+                CallOutcome::Broken {
                     is_started: true,
                     ..
                 }
             );
         let can_resume = active.route.repeat == Repeat::Resumable && active.last_event.is_some();
         let is_over = !active.may_run_again()
-            || active.left(now) < LEAST_CALL_MS
+            || active.time_left(now) < MIN_CALL_MS
             || (is_started && !can_resume);
-        if !is_over && self.may_repeat(now, active) {
+        if !is_over && self.may_retry(now, active) {
             return None;
         }
-        Some(give_up(active, is_started))
+        Some(final_ending(active, is_started))
     }
 
-    fn may_repeat(&mut self, now: Instant, active: &Active) -> bool {
-        active.arrivals == 0 || self.repeats_left(now, &active.service) > 0
+    fn may_retry(&mut self, now: Instant, active: &ActiveRequest) -> bool {
+        active.arrivals == 0 || self.retries_left(now, &active.service) > 0
     }
 }
 
-/// The final answer of a request that gets no further call.
-pub(super) fn give_up(active: &Active, is_started: bool) -> Ending {
+/// How a request ends that gets no further call.
+pub(super) fn final_ending(active: &ActiveRequest, is_started: bool) -> Ending {
     if is_started {
         return Ending::Cut;
     }
@@ -166,7 +186,7 @@
         };
     }
     Ending::Refuse {
-        retry_after_ms: plan::NO_TARGET_RETURN_MS,
-        detail: "every target that was asked refused the request",
+        retry_after_ms: plan::NO_TARGET_RETRY_AFTER_MS,
+        detail: "every target that was called refused the request",
     }
 }
--- a/components/gateway/src/core/decision.rs
+++ b/components/gateway/src/core/decision.rs
@@ -1,4 +1,4 @@
-//! What the core decides, and what the daemon reports back.
+//! Decisions of the core, and the call outcomes that the daemon reports back.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,117 +16,120 @@
     End(Ending),
 }
 
-/// A call to make.
+/// A call to a target, with its address and timeout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NextCall {
-    /// Call.
+    /// What the target is asked to do.
     pub call: Call,
-    /// Where.
+    /// Where the target listens.
     pub address: SocketAddr,
-    /// Longest wait for the head of the answer.
-    pub patience_ms: Duration,
+    /// Longest wait for the head of the answer; less than `call.left_ms` if a retry can follow.
+    pub head_timeout_ms: Duration,
 }
 
-/// How a request ends.
+/// How a request is completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// Answer that the request has not run and will not.
+    /// Answer 503: the request has not run and will not.
     Refuse {
-        /// When it may come back.
+        /// Value of the `Retry-After` field.
         retry_after_ms: Duration,
-        /// For people.
+        /// Human-readable cause, sent to the caller and logged.
         detail: &'static str,
     },
-    /// Answer that no route matches.
+    /// Answer 404: no route matches.
     NoRoute,
-    /// Answer that it failed; it may have run.
+    /// Answer that the request failed; it may have run.
     Fail {
         /// Status, 502 or 504.
         status: u16,
-        /// For people.
+        /// Human-readable cause, sent to the caller and logged.
         detail: &'static str,
     },
-    /// End the connection in the middle of the answer.
+    /// Close the connection without completing the answer that has begun.
     Cut,
-    /// Nothing is left to do.
+    /// No action is left: the answer was sent, or the caller disconnected.
     Done,
 }
 
-/// What became of a call.
+/// Outcome of one call to a target.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
-    /// The prompt was read.
+pub enum CallOutcome {
+    /// A prefill engine has processed the prompt.
     Prefilled(Prefilled),
     /// The target states that it has not run the request.
     NotRun {
         /// Status of its answer.
         status: u16,
-        /// Another process has the address.
+        /// Another process listens at the target's address.
         is_other_process: bool,
     },
-    /// No byte was sent.
+    /// The call failed before any byte of it was sent.
     NotSent {
         /// Cause.
         detail: String,
     },
-    /// The call may have run and there is no answer from it to give.
-    Lost {
+    /// The call may have run, but there is no usable answer.
+    AnswerLost {
         /// Cause.
         detail: String,
     },
-    /// The target answered with a failure of its own, which may be given to the caller.
+    /// The target answered with a 5xx status, which is withheld in favour of a retry.
     Failed {
-        /// Status.
+        /// Status that the target answered with.
         status: u16,
     },
-    /// A stream ended in its middle.
+    /// An event stream ended before it was complete.
     Broken {
-        /// Id of the last whole event that the caller got.
+        /// Id of the last complete event that was sent to the caller.
         last_event: Option<String>,
         /// Bytes of the answer were sent to the caller.
         is_started: bool,
         /// Cause.
         detail: String,
     },
-    /// No head of an answer came within the patience of the call.
-    Silent,
-    /// The time of the request is over.
+    /// No head of an answer arrived within the call's head timeout.
+    HeadTimedOut,
+    /// The request's deadline has passed.
     TimedOut {
         /// Bytes of the answer were sent to the caller.
         is_started: bool,
     },
-    /// The answer was given to the caller.
+    /// The answer was sent to the caller.
     Answered {
-        /// Status.
+        /// Status that the caller got.
         status: u16,
     },
-    /// The caller hung up.
+    /// The caller disconnected.
     Abandoned,
 }
 
-impl fmt::Display for Outcome {
+impl fmt::Display for CallOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Prefilled(_) => write!(f, "prompt read"),
+            Self::Prefilled(_) => write!(f, "prefill finished"),
             Self::NotRun {
                 is_other_process: true,
                 ..
-            } => write!(f, "not run: another process has the address"),
+            } => write!(
+                f,
+                "not run: another process listens at the target's address"
+            ),
             Self::NotRun { status, .. } => write!(f, "not run: status {status}"),
             Self::NotSent { detail } => write!(f, "not sent: {detail}"),
-            Self::Lost { detail } => write!(f, "answer lost: {detail}"),
+            Self::AnswerLost { detail } => write!(f, "answer lost: {detail}"),
             Self::Failed { status } => write!(f, "failed: status {status}"),
             Self::Broken {
                 last_event: Some(event),
                 detail,
                 ..
             } => write!(f, "stream broken after event {event}: {detail}"),
-            Self::Broken { detail, .. } => write!(f, "stream broken before an event: {detail}"),
-            Self::Silent => write!(f, "no answer in the time of the call"),
+            Self::Broken { detail, .. } => write!(f, "stream broken before any event: {detail}"),
+            Self::HeadTimedOut => write!(f, "no response head before the call's timeout"),
             Self::TimedOut { is_started: true } => write!(f, "out of time in the answer"),
-            Self::TimedOut { .. } => write!(f, "out of time before the answer"),
+            Self::TimedOut { .. } => write!(f, "deadline passed before the answer"),
             Self::Answered { status } => write!(f, "answered: status {status}"),
-            Self::Abandoned => write!(f, "the caller hung up"),
+            Self::Abandoned => write!(f, "the caller disconnected"),
         }
     }
 }
--- a/components/gateway/src/core/mod.rs
+++ b/components/gateway/src/core/mod.rs
@@ -1,9 +1,9 @@
-//! The state machine of the gateway: which call is made next for each request.
+//! The state machine that decides which call is made next for each request.
 //!
-//! [`Core`] does no I/O and reads no clock. The daemon reports what became of each call, and gets
-//! the next decision. A non-idempotent request is called a second time only after the target
-//! stated that it has not run, and refusals that state the same are given only while no call can
-//! have run.
+//! [`Core`] does no I/O and reads no clock. The daemon reports the outcome of each call and gets
+//! the next decision. A non-idempotent request is sent to a second target only if the first call
+//! certainly did not run, and a refusal, which states that the request has not run, is given only
+//! while no call can have run.
 
 mod active;
 mod conclude;
@@ -27,75 +27,75 @@
 use crate::deployment::Configuration;
 use crate::deployment::Notice;
 use crate::deployment::Repeat;
-use crate::fleet::Belief;
 use crate::fleet::Fleet;
+use crate::fleet::TargetChange;
 use crate::fleet::TargetKey;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 use crate::prefixes;
 use crate::prefixes::PrefixHash;
 use crate::protocol::CallerRequest;
 use crate::protocol::ModelWork;
 use crate::protocol::Transfer;
 use crate::repeats::RepeatAllowance;
-use crate::repeats::RepeatBudget;
+use crate::repeats::RetryBudget;
 use crate::routes;
 
-use self::active::Active;
+use self::active::ActiveRequest;
+pub use self::decision::CallOutcome;
 pub use self::decision::Decision;
 pub use self::decision::Ending;
 pub use self::decision::NextCall;
-pub use self::decision::Outcome;
 
-/// Number of a request within this process.
+/// Sequence number of a request within this process.
 pub type RequestNumber = u64;
 
-/// Time left below which no call is begun: it could not be answered.
-const LEAST_CALL_MS: Duration = Duration::from_millis(20);
-/// Time after which a request may come back to a process without a configuration.
-const NOT_READY_RETURN_MS: Duration = Duration::from_millis(300);
+/// Least time to the deadline for which a call is started; with less, no answer could arrive.
+const MIN_CALL_MS: Duration = Duration::from_millis(20);
+/// `Retry-After` of requests that arrive before the configuration and the targets are known.
+const NOT_READY_RETRY_AFTER_MS: Duration = Duration::from_millis(300);
 
-/// Settings of the decisions.
+/// Settings of the core.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CoreSettings {
     /// Data centre of this process.
     pub data_centre: Place,
-    /// Repeats that a service allows.
+    /// Retries that a service allows, over all gateway processes.
     pub repeats: RepeatAllowance,
-    /// Least number of processes that are taken to share an allowance.
+    /// Lower bound on the number of processes that the allowance is divided by.
     pub least_processes: usize,
 }
 
-/// Reading that peers are told of.
+/// A prefill that was started here, to be reported to the peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReadingNews {
-    /// Target.
+pub struct PrefillReport {
+    /// Target process that runs the prefill.
     pub key: TargetKey,
-    /// Shared parts of the prompt.
+    /// Prefix hashes of the prompt's shared parts.
     pub hashes: SmallVec<[PrefixHash; 4]>,
-    /// Tokens that are new to the target.
+    /// Prompt tokens that the target does not have in its prefix cache.
     pub tokens: u64,
 }
 
-/// Decisions of one process.
+/// Decision state of one process.
 #[derive(Debug)]
 pub struct Core {
     settings: CoreSettings,
     incarnation: Incarnation,
     configuration: Option<Rc<Configuration>>,
     has_targets: bool,
-    /// Beliefs about targets.
+    /// Health, load and prefix caches of the targets.
     pub fleet: Fleet,
-    budgets: HashMap<ServiceName, RepeatBudget>,
-    requests: HashMap<RequestNumber, Active>,
+    budgets: HashMap<ServiceName, RetryBudget>,
+    requests: HashMap<RequestNumber, ActiveRequest>,
     next_number: RequestNumber,
     random: StdRng,
-    notes: Vec<Note>,
-    releases: Vec<Transfer>,
-    news: Vec<ReadingNews>,
+    log_events: Vec<LogEvent>,
+    unused_transfers: Vec<Transfer>,
+    prefill_reports: Vec<PrefillReport>,
 }
 
 impl Core {
-    /// Decisions without a configuration; `incarnation` also seeds the random draws.
+    /// Starts without a configuration; `incarnation` also seeds the random numbers.
     #[must_use]
     pub fn new(settings: CoreSettings, incarnation: Incarnation) -> Self {
         Self {
@@ -108,111 +108,111 @@
             requests: HashMap::new(),
             next_number: 0,
             random: StdRng::seed_from_u64(incarnation),
-            notes: Vec::new(),
-            releases: Vec::new(),
-            news: Vec::new(),
+            log_events: Vec::new(),
+            unused_transfers: Vec::new(),
+            prefill_reports: Vec::new(),
         }
     }
 
-    /// Random number of this run.
+    /// Random number that identifies this run of the process.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Configuration in force.
+    /// Configuration in force; `None` until the first one was read from the store.
     #[must_use]
     pub fn configuration(&self) -> Option<&Rc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// Whether requests can be routed and placed.
+    /// Whether the configuration and the list of targets are known.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.configuration.is_some() && self.has_targets
     }
 
-    /// Requests that have not ended.
+    /// Number of requests that have not ended.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes what is to be logged.
-    pub fn take_notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    /// Takes the events to write to the log and the metrics.
+    pub fn take_log_events(&mut self) -> Vec<LogEvent> {
+        std::mem::take(&mut self.log_events)
     }
 
-    /// Takes memory that nobody will use any more.
-    pub fn take_releases(&mut self) -> Vec<Transfer> {
-        std::mem::take(&mut self.releases)
+    /// Takes the KV caches that no call will use any more, to be released at their engines.
+    pub fn take_unused_transfers(&mut self) -> Vec<Transfer> {
+        std::mem::take(&mut self.unused_transfers)
     }
 
-    /// Takes readings that peers have not been told of.
-    pub fn take_news(&mut self) -> Vec<ReadingNews> {
-        std::mem::take(&mut self.news)
+    /// Takes the prefills that have not been reported to the peers yet.
+    pub fn take_prefill_reports(&mut self) -> Vec<PrefillReport> {
+        std::mem::take(&mut self.prefill_reports)
     }
 
-    /// Logs something that the daemon saw.
-    pub fn note(&mut self, note: Note) {
-        self.notes.push(note);
+    /// Queues an event of the daemon for the log.
+    pub fn log_event(&mut self, event: LogEvent) {
+        self.log_events.push(event);
     }
 
-    /// Applies news from the platform.
-    pub fn notice(&mut self, now: Instant, notice: Notice) {
+    /// Applies an update from the platform.
+    pub fn apply_update(&mut self, now: Instant, notice: Notice) {
         match notice {
-            Notice::Configuration(configuration) => self.configure(configuration),
+            Notice::Configuration(configuration) => self.apply_configuration(configuration),
             Notice::TargetWritten(entry) => {
                 let name = entry.name.clone();
-                let belief = self.fleet.written(entry);
-                self.believe(name, belief);
+                let change = self.fleet.write_entry(entry);
+                self.log_target_change(name, change);
             }
             Notice::TargetRemoved(name) => {
-                let belief = self.fleet.removed(now, &name);
-                self.believe(name, belief);
+                let change = self.fleet.remove_entry(now, &name);
+                self.log_target_change(name, change);
             }
             Notice::AllTargets(entries) => {
                 self.has_targets = true;
-                for (name, belief) in self.fleet.replaced(now, entries) {
-                    self.believe(name, Some(belief));
+                for (name, change) in self.fleet.replace_entries(now, entries) {
+                    self.log_target_change(name, Some(change));
                 }
             }
             Notice::Peers(_) => {}
             Notice::Unreadable { row, detail } => {
-                self.notes.push(Note::Unreadable { row, detail });
+                self.log_events.push(LogEvent::RowIgnored { row, detail });
             }
             Notice::StoreLost { detail } => {
-                self.fleet.store_lost();
-                self.notes.push(Note::StoreLost { detail });
+                self.fleet.set_store_unavailable();
+                self.log_events.push(LogEvent::StoreUnavailable { detail });
             }
             Notice::StoreBack => {
-                self.fleet.store_back(now);
-                self.notes.push(Note::StoreBack);
+                self.fleet.set_store_available(now);
+                self.log_events.push(LogEvent::StoreAvailable);
             }
         }
     }
 
-    /// Ends what has run out.
+    /// Removes expired peers and targets.
     pub fn tick(&mut self, now: Instant) {
-        for (name, belief) in self.fleet.tick(now) {
-            self.believe(name, Some(belief));
+        for (name, change) in self.fleet.tick(now) {
+            self.log_target_change(name, Some(change));
         }
     }
 
-    fn configure(&mut self, configuration: Rc<Configuration>) {
+    fn apply_configuration(&mut self, configuration: Rc<Configuration>) {
         let before = self.configuration.as_ref().map(|current| current.version);
         if let Some(in_force) = before
             && configuration.version <= in_force
         {
             if configuration.version < in_force {
-                self.notes.push(Note::ConfigurationIgnored {
+                self.log_events.push(LogEvent::ConfigurationIgnored {
                     version: configuration.version,
                     in_force,
                 });
             }
             return;
         }
-        self.notes.push(Note::ConfigurationApplied {
+        self.log_events.push(LogEvent::ConfigurationApplied {
             version: configuration.version,
             before,
             routes: configuration.routes.len(),
@@ -220,46 +220,47 @@
         self.configuration = Some(configuration);
     }
 
-    fn believe(&mut self, target: TargetName, belief: Option<Belief>) {
-        if let Some(belief) = belief {
-            self.notes.push(Note::Target { target, belief });
+    fn log_target_change(&mut self, target: TargetName, change: Option<TargetChange>) {
+        if let Some(change) = change {
+            self.log_events
+                .push(LogEvent::TargetChange { target, change });
         }
     }
 
-    /// Takes a request on, or ends it at once.
+    /// Registers a request and decides on its first call.
     pub fn start(&mut self, now: Instant, request: Rc<CallerRequest>) -> (RequestNumber, Decision) {
         self.next_number += 1;
         let number = self.next_number;
         let Some(configuration) = self.configuration.clone().filter(|_| self.has_targets) else {
             let ending = Ending::Refuse {
-                retry_after_ms: NOT_READY_RETURN_MS,
+                retry_after_ms: NOT_READY_RETRY_AFTER_MS,
                 detail: "no configuration has been read from the store yet",
             };
-            self.note_unrouted(&request, ending);
+            self.log_unrouted(&request, ending);
             return (number, Decision::End(ending));
         };
         let path = request.target.split('?').next().unwrap_or_default();
         let host = host_name(&request.host);
         let Some(route) = routes::find(&configuration, host, path).cloned() else {
-            self.note_unrouted(&request, Ending::NoRoute);
+            self.log_unrouted(&request, Ending::NoRoute);
             return (number, Decision::End(Ending::NoRoute));
         };
         let draw = self.random.next_u64();
         let service = routes::service(&route, draw).cloned().unwrap_or_default();
         let facts = configuration.services.get(&service);
         let engine = facts.and_then(|facts| facts.engine);
-        let patience = request.patience_ms.min(route.timeout_ms);
+        let timeout = request.patience_ms.min(route.timeout_ms);
         let work = request.work.as_ref();
         let prompt_tokens = work.map_or(0, |work| work.prompt_tokens);
         let output_tokens = work.map_or(0, ModelWork::output_tokens);
-        let active = Active {
+        let active = ActiveRequest {
             hashes: work
                 .map(|work| prefixes::shared_hashes(&work.parts))
                 .unwrap_or_default(),
             engine: engine.filter(|_| work.is_some()),
             received: now,
-            deadline: now + patience,
-            refused_by: SmallVec::new(),
+            deadline: now + timeout,
+            tried_targets: SmallVec::new(),
             arrivals: 0,
             calls: 0,
             runs: 0,
@@ -272,12 +273,12 @@
             route,
             service,
         };
-        self.notes.push(Note::Accepted {
+        self.log_events.push(LogEvent::RequestRouted {
             request: active.request.id.clone(),
             route: active.route.name.clone(),
             service: active.service.clone(),
             version: configuration.version,
-            left_ms: millis(patience),
+            left_ms: millis(timeout),
             prompt_tokens,
             output_tokens,
         });
@@ -285,11 +286,11 @@
         let budget = self.budgets.entry(active.service.clone()).or_default();
         budget.count_request(now, &allowance);
         self.requests.insert(number, active);
-        let decision = self.next(now, number);
+        let decision = self.next_decision(now, number);
         (number, decision)
     }
 
-    /// The first event of a stream has arrived, or the head of another answer.
+    /// Records the arrival of a stream's first event, or of a complete answer that is no stream.
     pub fn first_byte(&mut self, now: Instant, number: RequestNumber) {
         let Some(active) = self.requests.get_mut(&number) else {
             return;
@@ -297,40 +298,46 @@
         let since_arrival = now.saturating_duration_since(active.received);
         active.first_ms.get_or_insert(millis(since_arrival));
         if let Some(current) = &mut active.current {
-            current.has_read(now, &mut self.fleet);
+            current.prefill_finished(now, &mut self.fleet);
         }
     }
 
-    /// Whether a failure that a target answered with is better kept from the caller and the
-    /// request sent to another target.
-    pub fn try_again(&mut self, now: Instant, number: RequestNumber) -> bool {
+    /// Whether to retry at another target instead of passing the target's 5xx answer on to the
+    /// caller.
+    pub fn should_retry(&mut self, now: Instant, number: RequestNumber) -> bool {
         let Some(active) = self.requests.get(&number) else {
             return false;
         };
-        let may_follow = active.route.repeat == Repeat::Idempotent
+        let has_retry_left = active.route.repeat == Repeat::Idempotent
             && active.runs + 1 < active.route.attempt_limit
-            && active.left(now) >= LEAST_CALL_MS;
+            && active.time_left(now) >= MIN_CALL_MS;
         let targets = self.fleet.usable(&active.service, now).len();
-        if !may_follow || targets <= active.refused_by.len() + 1 {
+        if !has_retry_left || targets <= active.tried_targets.len() + 1 {
             return false;
         }
         let service = active.service.clone();
-        self.repeats_left(now, &service) > 0
+        self.retries_left(now, &service) > 0
     }
 
-    fn repeats_left(&mut self, now: Instant, service: &ServiceName) -> u32 {
+    fn retries_left(&mut self, now: Instant, service: &ServiceName) -> u32 {
         let processes = (self.fleet.peer_count() + 1).max(self.settings.least_processes);
         let allowance = self.settings.repeats;
         let budget = self.budgets.entry(service.clone()).or_default();
         budget.left(now, &allowance, processes)
     }
 
-    fn finish(&mut self, now: Instant, active: Active, ending: Ending, outcome: &Outcome) {
+    fn finish(
+        &mut self,
+        now: Instant,
+        active: ActiveRequest,
+        ending: Ending,
+        outcome: &CallOutcome,
+    ) {
         if let Some(transfer) = active.transfer {
-            self.releases.push(transfer);
+            self.unused_transfers.push(transfer);
         }
         let (ended, detail, status) = describe(ending, outcome);
-        self.notes.push(Note::Ended {
+        self.log_events.push(LogEvent::RequestEnded {
             request: active.request.id.clone(),
             route: active.route.name.clone(),
             outcome: ended,
@@ -343,9 +350,9 @@
         });
     }
 
-    fn note_unrouted(&mut self, request: &CallerRequest, ending: Ending) {
-        let (ended, detail, status) = describe(ending, &Outcome::Abandoned);
-        self.notes.push(Note::Ended {
+    fn log_unrouted(&mut self, request: &CallerRequest, ending: Ending) {
+        let (ended, detail, status) = describe(ending, &CallOutcome::Abandoned);
+        self.log_events.push(LogEvent::RequestEnded {
             request: request.id.clone(),
             route: String::new(),
             outcome: ended,
@@ -359,14 +366,14 @@
     }
 }
 
-fn describe(ending: Ending, outcome: &Outcome) -> (&'static str, String, u16) {
+fn describe(ending: Ending, outcome: &CallOutcome) -> (&'static str, String, u16) {
     match (ending, outcome) {
         (Ending::Refuse { detail, .. }, _) => ("refused", detail.to_owned(), 503),
         (Ending::NoRoute, _) => ("refused", "no route matches".to_owned(), 404),
         (Ending::Fail { status, detail }, _) => ("failed", detail.to_owned(), status),
         (Ending::Cut, outcome) => ("cut", outcome.to_string(), 0),
-        (_, Outcome::Answered { status }) => ("answered", String::new(), *status),
-        _ => ("abandoned", "the caller hung up".to_owned(), 0),
+        (_, CallOutcome::Answered { status }) => ("answered", String::new(), *status),
+        _ => ("abandoned", "the caller disconnected".to_owned(), 0),
     }
 }
 
@@ -377,7 +384,7 @@
     }
 }
 
-/// Host without a port.
+/// The `Host` value without its port.
 fn host_name(host: &str) -> &str {
     host.split(':').next().unwrap_or_default()
 }
--- a/components/gateway/src/core/plan.rs
+++ b/components/gateway/src/core/plan.rs
@@ -1,4 +1,4 @@
-//! Which call is made next for a request.
+//! Chooses the target, the step and the timeout of a request's next call.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,56 +9,56 @@
 use types::TargetName;
 
 use crate::admission;
-use crate::admission::Prospect;
+use crate::admission::LatencyEstimate;
 use crate::core::Core;
-use crate::core::ReadingNews;
+use crate::core::PrefillReport;
 use crate::core::RequestNumber;
-use crate::core::active::Active;
-use crate::core::active::Current;
-use crate::core::conclude::give_up;
+use crate::core::active::ActiveRequest;
+use crate::core::active::CurrentCall;
+use crate::core::conclude::final_ending;
+use crate::core::decision::CallOutcome;
 use crate::core::decision::Decision;
 use crate::core::decision::Ending;
 use crate::core::decision::NextCall;
-use crate::core::decision::Outcome;
 use crate::deployment::EngineFacts;
 use crate::deployment::Repeat;
 use crate::fleet::Load;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 use crate::placement;
-use crate::placement::Choice;
-use crate::placement::Need;
+use crate::placement::Placement;
+use crate::placement::PlacementRequest;
 use crate::protocol::Call;
 use crate::protocol::Step;
 use crate::protocol::Transfer;
 
-/// Factor on the expected duration of a prefill after which it is given up.
-const PREFILL_PATIENCE_FACTOR: f64 = 3.0;
-/// Time that is added to it, for a target that was stalled for a moment.
-const PREFILL_PATIENCE_MS: f64 = 400.0;
-/// Part of the time left that an idempotent call may take while another one can follow.
-const IDEMPOTENT_PATIENCE_PART: f64 = 0.4;
-/// Time after which a request may come back that found no target.
-pub(super) const NO_TARGET_RETURN_MS: Duration = Duration::from_millis(500);
+/// Factor on the expected duration of a prefill that gives its timeout.
+const PREFILL_TIMEOUT_FACTOR: f64 = 3.0;
+/// Time added to that timeout, so that a target that stalls briefly does not time out.
+const PREFILL_TIMEOUT_MARGIN_MS: f64 = 400.0;
+/// Fraction of the time left after which an idempotent call times out if a retry can follow.
+const IDEMPOTENT_TIMEOUT_FRACTION: f64 = 0.4;
+/// `Retry-After` of requests for which no target was available.
+pub(super) const NO_TARGET_RETRY_AFTER_MS: Duration = Duration::from_millis(500);
 
-/// A call that was decided on.
-struct Planned {
+/// A call that was chosen but not yet started.
+struct PlannedCall {
     target: TargetName,
     step: Step,
-    patience_ms: Duration,
+    head_timeout_ms: Duration,
     load: Load,
     expected_ms: f64,
     new_tokens: u64,
 }
 
-impl Planned {
-    /// A run without a prompt to read.
-    fn run(target: TargetName, transfer: Option<Transfer>, patience_ms: Duration) -> Self {
+impl PlannedCall {
+    /// A run without a prefill at its target.
+    fn run(target: TargetName, transfer: Option<Transfer>, head_timeout_ms: Duration) -> Self {
         Self {
             target,
             step: Step::Run(transfer),
-            patience_ms,
+            head_timeout_ms,
             load: Load {
-                reading_ms: 0.0,
+                prefill_ms: 0.0,
                 runs: 1.0,
             },
             expected_ms: 0.0,
@@ -68,8 +68,8 @@
 }
 
 impl Core {
-    /// Chooses the next call of a request, or ends it.
-    pub(super) fn next(&mut self, now: Instant, number: RequestNumber) -> Decision {
+    /// Starts the next call of a request, or ends the request if none is possible.
+    pub(super) fn next_decision(&mut self, now: Instant, number: RequestNumber) -> Decision {
         let Some(mut active) = self.requests.remove(&number) else {
             return Decision::End(Ending::Done);
         };
@@ -79,157 +79,185 @@
         };
         match planned {
             Ok(planned) => {
-                let decision = self.call(now, &mut active, planned);
+                let decision = self.start_call(now, &mut active, planned);
                 self.requests.insert(number, active);
                 decision
             }
             Err(ending) => {
                 let ending = if active.runs > 0 {
-                    give_up(&active, active.last_event.is_some())
+                    final_ending(&active, active.last_event.is_some())
                 } else {
                     ending
                 };
-                self.finish(now, active, ending, &Outcome::Abandoned);
+                self.finish(now, active, ending, &CallOutcome::Abandoned);
                 Decision::End(ending)
             }
         }
     }
 
-    fn plan_plain(&mut self, now: Instant, active: &Active) -> Result<Planned, Ending> {
-        let members = self.fleet.usable(&active.service, now);
+    fn plan_plain(&mut self, now: Instant, active: &ActiveRequest) -> Result<PlannedCall, Ending> {
+        let targets = self.fleet.usable(&active.service, now);
         let draw = self.random.next_u64();
-        let target = placement::choose_plain(
-            &members,
+        let target = placement::choose_plain_target(
+            &targets,
             &self.settings.data_centre,
-            &active.refused_by,
+            &active.tried_targets,
             draw,
         );
         let Some(target) = target else {
             return Err(no_target());
         };
-        let can_follow = active.route.repeat == Repeat::Idempotent
+        let has_retry_left = active.route.repeat == Repeat::Idempotent
             && active.runs + 1 < active.route.attempt_limit
-            && members.len() > 1;
-        let left = active.left(now);
-        let patience_ms = if can_follow {
-            left.mul_f64(IDEMPOTENT_PATIENCE_PART)
+            && targets.len() > 1;
+        let left = active.time_left(now);
+        let head_timeout_ms = if has_retry_left {
+            left.mul_f64(IDEMPOTENT_TIMEOUT_FRACTION)
         } else {
             left
         };
-        Ok(Planned::run(target, None, patience_ms))
+        Ok(PlannedCall::run(target, None, head_timeout_ms))
     }
 
     fn plan_model(
         &mut self,
         now: Instant,
-        active: &mut Active,
+        active: &mut ActiveRequest,
         facts: &EngineFacts,
-    ) -> Result<Planned, Ending> {
+    ) -> Result<PlannedCall, Ending> {
         let request = active.request.clone();
         let Some(work) = &request.work else {
             return Err(no_target());
         };
-        let members = self.fleet.usable(&active.service, now);
-        let need = Need {
+        let targets = self.fleet.usable(&active.service, now);
+        let placement_request = PlacementRequest {
             work,
             hashes: &active.hashes,
-            refused_by: &active.refused_by,
+            tried_targets: &active.tried_targets,
         };
         if let Some(transfer) = active.transfer.take() {
-            let place = self.fleet.get(&transfer.holder);
-            let place = place.map_or(&self.settings.data_centre, |m| &m.entry.data_centre);
-            let hints = &self.fleet.hints;
-            let target = placement::choose_decoder(&members, hints, facts, &need, place, now);
+            let source = self.fleet.get(&transfer.holder);
+            let source = source.map_or(&self.settings.data_centre, |s| &s.entry.data_centre);
+            let prefix_index = &self.fleet.prefix_index;
+            let target = placement::choose_decode_engine(
+                &targets,
+                prefix_index,
+                facts,
+                &placement_request,
+                source,
+                now,
+            );
             let Some(target) = target else {
-                self.releases.push(transfer);
+                self.unused_transfers.push(transfer);
                 return Err(no_target());
             };
-            return Ok(Planned::run(target, Some(transfer), active.left(now)));
+            return Ok(PlannedCall::run(
+                target,
+                Some(transfer),
+                active.time_left(now),
+            ));
         }
-        let choice = placement::choose_reader(&members, &self.fleet.hints, facts, &need, now);
-        let Some(choice) = choice else {
+        let placement = placement::choose_first_engine(
+            &targets,
+            &self.fleet.prefix_index,
+            facts,
+            &placement_request,
+            now,
+        );
+        let Some(placement) = placement else {
             return Err(no_target());
         };
-        self.admit(now, active, &choice)?;
-        let is_prefill = choice.role == Role::Prefill;
-        let left = active.left(now);
-        let patience_ms = if is_prefill {
-            let patience_ms = choice.first_event_ms * PREFILL_PATIENCE_FACTOR + PREFILL_PATIENCE_MS;
-            left.min(Duration::from_secs_f64(patience_ms / 1e3))
+        self.admit(now, active, &placement)?;
+        let is_prefill = placement.role == Role::Prefill;
+        let left = active.time_left(now);
+        let head_timeout_ms = if is_prefill {
+            let head_timeout_ms =
+                placement.first_event_ms * PREFILL_TIMEOUT_FACTOR + PREFILL_TIMEOUT_MARGIN_MS;
+            left.min(Duration::from_secs_f64(head_timeout_ms / 1e3))
         } else {
             left
         };
-        Ok(Planned {
+        Ok(PlannedCall {
             step: if is_prefill {
                 Step::Prefill
             } else {
                 Step::Run(None)
             },
-            target: choice.target,
-            patience_ms,
+            target: placement.target,
+            head_timeout_ms,
             load: Load {
-                reading_ms: choice.reading_ms,
+                prefill_ms: placement.prefill_ms,
                 runs: 1.0,
             },
-            expected_ms: choice.first_event_ms,
-            new_tokens: choice.new_tokens,
+            expected_ms: placement.first_event_ms,
+            new_tokens: placement.new_tokens,
         })
     }
 
-    fn admit(&mut self, now: Instant, active: &Active, choice: &Choice) -> Result<(), Ending> {
+    fn admit(
+        &mut self,
+        now: Instant,
+        active: &ActiveRequest,
+        placement: &Placement,
+    ) -> Result<(), Ending> {
         let waited_ms = now.saturating_duration_since(active.received).as_secs_f64() * 1e3;
-        let aim_ms = active.route.aim_ms.as_secs_f64() * 1e3;
-        let prospect = Prospect {
-            first_event_ms: choice.first_event_ms,
-            wait_ms: choice.wait_ms,
-            events_ms: choice.events_ms,
-            aim_left_ms: aim_ms - waited_ms,
-            aim_ms,
-            left_ms: active.left(now).as_secs_f64() * 1e3,
-            silence_left_ms: active.route.silence_limit_ms.as_secs_f64() * 1e3 - waited_ms,
+        let objective_ms = active.route.aim_ms.as_secs_f64() * 1e3;
+        let estimate = LatencyEstimate {
+            first_event_ms: placement.first_event_ms,
+            wait_ms: placement.wait_ms,
+            events_ms: placement.events_ms,
+            objective_left_ms: objective_ms - waited_ms,
+            objective_ms,
+            left_ms: active.time_left(now).as_secs_f64() * 1e3,
+            event_timeout_left_ms: active.route.silence_limit_ms.as_secs_f64() * 1e3 - waited_ms,
         };
-        if active.runs > 0 || admission::is_admitted(&prospect) {
+        if active.runs > 0 || admission::is_admitted(&estimate) {
             return Ok(());
         }
         let draw = self.random.random::<f64>();
         Err(Ending::Refuse {
-            retry_after_ms: admission::return_after(&prospect, draw),
+            retry_after_ms: admission::retry_after(&estimate, draw),
             detail: "all engines are too busy to answer in time",
         })
     }
 
-    fn call(&mut self, now: Instant, active: &mut Active, planned: Planned) -> Decision {
-        let Some(member) = self.fleet.get(&planned.target) else {
+    fn start_call(
+        &mut self,
+        now: Instant,
+        active: &mut ActiveRequest,
+        planned: PlannedCall,
+    ) -> Decision {
+        let Some(state) = self.fleet.get(&planned.target) else {
             return Decision::End(no_target());
         };
-        let (address, key) = (member.entry.address, member.key);
-        let (waiting_ms, running) = (member.wait_ms(now), member.load().runs);
+        let (address, key) = (state.entry.address, state.key);
+        let (waiting_ms, running) = (state.wait_ms(now), state.load().runs);
         let is_prefill = planned.step == Step::Prefill;
         active.calls += 1;
-        // The first reading of a prompt does not count as an arrival if it is accepted.
-        let is_free = is_prefill && active.prefills == 0;
+        // The first prefill of a request is not counted as an arrival unless it is refused.
+        let is_uncounted = is_prefill && active.prefills == 0;
         if is_prefill {
             active.prefills += 1;
         }
-        if !is_free {
+        if !is_uncounted {
             if active.arrivals > 0 {
                 let allowance = self.settings.repeats;
                 let budget = self.budgets.entry(active.service.clone()).or_default();
-                budget.count_repeat(now, &allowance);
+                budget.count_retry(now, &allowance);
             }
             active.arrivals += 1;
         }
-        self.fleet.begin(now, &planned.target, planned.load);
+        self.fleet.add_load(now, &planned.target, planned.load);
         if active.engine.is_some() {
             self.fleet
-                .reads(&planned.target, &active.hashes, planned.new_tokens);
-            self.news.push(ReadingNews {
+                .record_prefill(&planned.target, &active.hashes, planned.new_tokens);
+            self.prefill_reports.push(PrefillReport {
                 key,
                 hashes: active.hashes.clone(),
                 tokens: planned.new_tokens,
             });
         }
-        self.notes.push(Note::Sent {
+        self.log_events.push(LogEvent::TargetCalled {
             request: active.request.id.clone(),
             target: planned.target.clone(),
             step: match &planned.step {
@@ -247,7 +275,7 @@
             Step::Run(transfer) => transfer.clone(),
             Step::Prefill => None,
         };
-        active.current = Some(Current {
+        active.current = Some(CurrentCall {
             target: planned.target.clone(),
             key,
             load: planned.load,
@@ -260,19 +288,19 @@
             call: Call {
                 step: planned.step,
                 target: planned.target,
-                left_ms: active.left(now),
+                left_ms: active.time_left(now),
                 urgency: active.route.priority.min(9),
                 resume_after: active.last_event.clone(),
             },
             address,
-            patience_ms: planned.patience_ms,
+            head_timeout_ms: planned.head_timeout_ms,
         }))
     }
 }
 
 fn no_target() -> Ending {
     Ending::Refuse {
-        retry_after_ms: NO_TARGET_RETURN_MS,
+        retry_after_ms: NO_TARGET_RETRY_AFTER_MS,
         detail: "no target of the service takes work",
     }
 }
--- a/components/gateway/src/daemon/callers.rs
+++ b/components/gateway/src/daemon/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: from a request to the end of its answer.
+//! Serves callers' requests: makes the calls that the core decides on and sends the answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use http::StreamingResponse;
 use types::RunState;
 
+use crate::core::CallOutcome;
 use crate::core::Decision;
 use crate::core::Ending;
-use crate::core::Outcome;
 use crate::core::RequestNumber;
 use crate::daemon::Daemon;
 use crate::daemon::relay;
-use crate::daemon::within;
+use crate::daemon::with_timeout;
 use crate::protocol::Call;
 use crate::protocol::CallerRequest;
 use crate::protocol::Step;
 
-/// Time after which a caller may come back to a process that is stopping.
-const STOPPING_RETURN_MS: Duration = Duration::from_millis(100);
+/// `Retry-After` of a process that is shutting down: the retry reaches another one.
+const STOPPING_RETRY_AFTER_MS: Duration = Duration::from_millis(100);
 
-/// Handler of callers' requests.
+/// HTTP handler for callers.
 pub(super) struct Callers {
     pub(super) daemon: Rc<Daemon>,
 }
@@ -45,14 +45,14 @@
 
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
         Box::pin(async move {
-            if !self.daemon.is_staying.get() {
+            if !self.daemon.is_in_service.get() {
                 exchange.close_after();
             }
             match self.daemon.protocol.request(request) {
                 Ok(request) => Box::pin(serve(&self.daemon, Rc::new(request), exchange)).await,
                 Err(problem) => {
                     let (head, body) = problem.to_answer();
-                    // A caller that has hung up needs no answer.
+                    // A failure means that the caller has disconnected.
                     let _ = exchange.respond(head, &body).await;
                 }
             }
@@ -63,8 +63,8 @@
 async fn serve(daemon: &Rc<Daemon>, request: Rc<CallerRequest>, exchange: &mut Exchange) {
     let now = daemon.clock.now();
     let (number, mut decision) = daemon.core.borrow_mut().start(now, request.clone());
-    daemon.after_decision();
-    let mut guard = Guard {
+    daemon.process_core_output();
+    let mut request_guard = RequestGuard {
         daemon: daemon.clone(),
         number,
         is_open: true,
@@ -75,7 +75,7 @@
             Decision::End(ending) => break ending,
         };
         let call = &next.call;
-        let open = OpenCall {
+        let answered = AnsweredCall {
             daemon,
             number,
             call,
@@ -87,122 +87,124 @@
         let is_head = request.method == http_types::Method::Head;
         let is_own =
             |fields: &http_types::headers::Headers| daemon.protocol.is_own(fields, &request.id);
-        let sending = client.forward(&head, &request.body, is_head, is_own);
-        let sending = Box::pin(sending);
-        let waiting = exchange.or_hang_up(within(next.patience_ms, sending)).await;
-        let outcome = match waiting {
-            Err(_) => Outcome::Abandoned,
-            Ok(None) if next.patience_ms < left_ms => Outcome::Silent,
-            Ok(None) => Outcome::TimedOut {
+        let call_future = client.forward(&head, &request.body, is_head, is_own);
+        let call_future = Box::pin(call_future);
+        let call_result = exchange
+            .or_hang_up(with_timeout(next.head_timeout_ms, call_future))
+            .await;
+        let outcome = match call_result {
+            Err(_) => CallOutcome::Abandoned,
+            Ok(None) if next.head_timeout_ms < left_ms => CallOutcome::HeadTimedOut,
+            Ok(None) => CallOutcome::TimedOut {
                 is_started: exchange.is_started(),
             },
-            Ok(Some(Err(error))) => failed(error, exchange.is_started()),
-            Ok(Some(Ok(response))) => open.take(response, exchange, deadline).await,
+            Ok(Some(Err(error))) => transport_outcome(error, exchange.is_started()),
+            Ok(Some(Ok(response))) => answered.handle_answer(response, exchange, deadline).await,
         };
         let now = daemon.clock.now();
-        decision = daemon.core.borrow_mut().outcome(now, number, outcome);
-        daemon.after_decision();
+        decision = daemon.core.borrow_mut().call_ended(now, number, outcome);
+        daemon.process_core_output();
     };
-    guard.is_open = false;
-    answer(daemon, &request, ending, exchange).await;
+    request_guard.is_open = false;
+    send_ending(daemon, &request, ending, exchange).await;
 }
 
-/// Ends a request in the core when its task is dropped, as when the process stops.
-struct Guard {
+/// Ends a request in the core if its task is dropped early, as on shutdown.
+struct RequestGuard {
     daemon: Rc<Daemon>,
     number: RequestNumber,
     is_open: bool,
 }
 
-impl Drop for Guard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         if self.is_open {
             let now = self.daemon.clock.now();
             let mut core = self.daemon.core.borrow_mut();
-            core.outcome(now, self.number, Outcome::Abandoned);
+            core.call_ended(now, self.number, CallOutcome::Abandoned);
         }
     }
 }
 
-fn failed(error: ClientError, is_started: bool) -> Outcome {
+fn transport_outcome(error: ClientError, is_started: bool) -> CallOutcome {
     let was_sent = error.was_sent();
     let (ClientError::NotSent { detail } | ClientError::Interrupted { detail }) = error;
     if !was_sent {
-        Outcome::NotSent { detail }
+        CallOutcome::NotSent { detail }
     } else if is_started {
-        Outcome::Broken {
+        CallOutcome::Broken {
             last_event: None,
             is_started,
             detail,
         }
     } else {
-        Outcome::Lost { detail }
+        CallOutcome::AnswerLost { detail }
     }
 }
 
-/// A call whose answer has begun.
-pub(super) struct OpenCall<'a> {
+/// A call whose response head has arrived.
+pub(super) struct AnsweredCall<'a> {
     pub(super) daemon: &'a Rc<Daemon>,
     pub(super) number: RequestNumber,
     pub(super) call: &'a Call,
 }
 
-impl OpenCall<'_> {
-    async fn take(
+impl AnsweredCall<'_> {
+    async fn handle_answer(
         &self,
         response: StreamingResponse,
         exchange: &mut Exchange,
         deadline: std::time::Instant,
-    ) -> Outcome {
+    ) -> CallOutcome {
         let status = u16::from(response.status);
         let facts = self.daemon.protocol.facts(status, &response.headers);
         if facts.not_run || facts.is_other_process {
-            // Reading the rest lets the connection be used again.
+            // The connection can be reused only after the whole answer was read.
             let _ = exchange.or_hang_up(response.into_whole()).await;
-            return Outcome::NotRun {
+            return CallOutcome::NotRun {
                 status,
                 is_other_process: facts.is_other_process,
             };
         }
         if self.call.step == Step::Prefill {
-            return self.take_prefilled(response, exchange).await;
+            return self.handle_prefill_answer(response, exchange).await;
         }
         let is_success = (200..300).contains(&status);
-        let is_promise = matches!(status, 408 | 421 | 429 | 503);
-        if is_promise || (is_success && !facts.is_signed) {
-            return Outcome::Lost {
-                detail: format!("status {status} that does not tell whether the request ran"),
+        let is_retryable_status = matches!(status, 408 | 421 | 429 | 503);
+        if is_retryable_status || (is_success && !facts.is_signed) {
+            return CallOutcome::AnswerLost {
+                detail: format!("status {status} does not tell whether the request ran"),
             };
         }
         let left = deadline.saturating_duration_since(self.daemon.clock.now());
         let is_stream = is_success && is_event_stream(&response);
         if exchange.is_started() && !is_stream {
-            return Outcome::Lost {
+            return CallOutcome::AnswerLost {
                 detail: format!("status {status} instead of the rest of the stream"),
             };
         }
         if is_stream {
             relay::stream(self, response, exchange, left).await
         } else {
-            relay::whole(self, response, exchange, left).await
+            relay::buffered(self, response, exchange, left).await
         }
     }
 
-    async fn take_prefilled(
+    async fn handle_prefill_answer(
         &self,
         response: StreamingResponse,
         exchange: &mut Exchange,
-    ) -> Outcome {
+    ) -> CallOutcome {
         let status = u16::from(response.status);
         match exchange.or_hang_up(response.into_whole()).await {
-            Err(_) => Outcome::Abandoned,
-            Ok(Err(error)) => Outcome::Lost {
+            Err(_) => CallOutcome::Abandoned,
+            Ok(Err(error)) => CallOutcome::AnswerLost {
                 detail: error.to_string(),
             },
             Ok(Ok(whole)) => match self.daemon.protocol.prefilled(&whole.body) {
-                Some(prefilled) if status == 200 => Outcome::Prefilled(prefilled),
-                _ => Outcome::Lost {
-                    detail: format!("status {status} instead of the memory of the prompt"),
+                Some(prefilled) if status == 200 => CallOutcome::Prefilled(prefilled),
+                _ => CallOutcome::AnswerLost {
+                    detail: format!("status {status} without a valid prefill result"),
                 },
             },
         }
@@ -214,7 +216,7 @@
     media_type.is_some_and(|value| value.as_str().starts_with("text/event-stream"))
 }
 
-async fn answer(
+async fn send_ending(
     daemon: &Rc<Daemon>,
     request: &CallerRequest,
     ending: Ending,
@@ -225,11 +227,11 @@
             retry_after_ms,
             detail,
         } => {
-            let is_staying = daemon.is_staying.get();
-            let after = if is_staying {
+            let is_in_service = daemon.is_in_service.get();
+            let after = if is_in_service {
                 retry_after_ms
             } else {
-                STOPPING_RETURN_MS
+                STOPPING_RETRY_AFTER_MS
             };
             Problem::new(503, "overloaded", detail)
                 .run(RunState::NotRun)
@@ -249,16 +251,16 @@
             };
             Problem::new(status, kind, detail).run(RunState::Unknown)
         }
-        // The connection is closed without the end of the answer.
+        // `Cut` closes the connection before the answer is complete; `Done` has nothing to send.
         Ending::Cut | Ending::Done => return,
     };
     let (mut head, body) = problem.to_answer();
     if let Some(after_ms) = problem.retry_after_ms {
-        // Callers understand fractions of a second, and these spread the returns.
+        // Callers accept fractions of a second; whole seconds would undo the jitter.
         let after = Duration::from_millis(after_ms);
         head.insert_header("retry-after", format!("{:.3}", after.as_secs_f64()));
     }
     daemon.protocol.mark_own_answer(&mut head, &request.id);
-    // A caller that has hung up needs no answer.
+    // A failure means that the caller has disconnected.
     let _ = exchange.respond(head, &body).await;
 }
--- a/components/gateway/src/daemon/mod.rs
+++ b/components/gateway/src/daemon/mod.rs
@@ -1,9 +1,9 @@
-//! The daemon: one loop on one thread that carries out what the decisions ask for.
+//! The daemon: carries out the core's decisions on a single-threaded executor.
 
 mod callers;
-mod meters;
+mod monitoring;
 mod peers;
-mod ready;
+mod recorder;
 mod relay;
 mod stop;
 
@@ -34,67 +34,67 @@
 use crate::deployment::Notice;
 use crate::deployment::PeerEntry;
 use crate::log::Log;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 use crate::protocol::Protocol;
 use crate::protocol::Transfer;
 use crate::settings::GatewaySettings;
 
-use self::meters::Meters;
+use self::recorder::MetricsRecorder;
 
-/// Time between two looks at what has run out.
+/// Interval of checks for expired peers and targets.
 const TICK_MS: Duration = Duration::from_millis(100);
-/// Longest time to open a connection to a target; a round trip takes a few milliseconds.
-const CONNECT_MS: Duration = Duration::from_millis(400);
-/// Time that an idle connection to a target is kept; targets close theirs after some seconds.
-const IDLE_MS: Duration = Duration::from_secs(4);
-/// Idle connections kept to one target. A target accepts some hundred from all processes together,
-/// and there are a few processes for each engine at most.
+/// Connect timeout for targets; a round trip takes a few milliseconds.
+const CONNECT_TIMEOUT_MS: Duration = Duration::from_millis(400);
+/// Time that an idle connection to a target is kept. Targets close theirs after some seconds.
+const IDLE_TIMEOUT_MS: Duration = Duration::from_secs(4);
+/// Idle connections kept to one target. A target accepts a few hundred from all processes together,
+/// and at most a few processes exist per engine.
 const IDLE_CONNECTIONS: usize = 8;
-/// Interval of keepalive probes to targets; a peer that is gone is noticed after three of them.
-const PROBE_MS: Duration = Duration::from_millis(700);
-/// Longest wait for the answer to a call that frees memory.
-const RELEASE_MS: Duration = Duration::from_secs(1);
-/// Part of the memory that bodies of requests may take.
-const BODIES_PART: u64 = 4;
-/// Descriptors for connections to targets, peers and the store.
-const OWN_SOCKETS: usize = 800;
-/// Connections that may wait to be accepted.
+/// Interval of TCP keepalive probes; a dead target is detected after three of them.
+const KEEPALIVE_MS: Duration = Duration::from_millis(700);
+/// Timeout of a call that releases a KV cache.
+const RELEASE_TIMEOUT_MS: Duration = Duration::from_secs(1);
+/// Divisor of the process's memory that gives the limit for buffered request bodies.
+const BODIES_MEMORY_DIVISOR: u64 = 4;
+/// File descriptors reserved for connections to targets, peers and the store.
+const RESERVED_SOCKETS: usize = 800;
+/// Listen backlog.
 const BACKLOG: i32 = 1024;
 
-/// What connects a gateway to its platform.
+/// Platform-specific part of a gateway.
 pub struct Adapter {
-    /// Heads of requests and answers.
+    /// Encoding of requests and answers.
     pub protocol: Rc<dyn Protocol>,
-    /// News of the deployment.
+    /// Source of configuration, targets and peers.
     pub deployment: Rc<dyn Deployment>,
-    /// Reads the settings again.
+    /// Reads and checks the settings on SIGHUP, without applying them; the error is logged.
     pub reload: Box<dyn Fn() -> Result<(), String>>,
 }
 
-/// Everything that the tasks of a daemon share.
+/// State shared by the tasks of the daemon.
 pub(crate) struct Daemon {
     pub(crate) core: RefCell<Core>,
     pub(crate) protocol: Rc<dyn Protocol>,
     deployment: Rc<dyn Deployment>,
     pub(crate) clock: Rc<dyn Clock>,
     pub(crate) settings: GatewaySettings,
-    pub(crate) is_staying: Cell<bool>,
+    pub(crate) is_in_service: Cell<bool>,
     executor: Rc<LocalExecutor<'static>>,
     clients: RefCell<HashMap<SocketAddr, Client>>,
     peers: RefCell<Vec<PeerEntry>>,
     log: Log,
-    meters: Meters,
+    recorder: MetricsRecorder,
 }
 
-/// Serves until the process is asked to stop and everything in flight has finished.
+/// Serves until SIGTERM or SIGINT, and then until the requests in flight have finished.
 ///
 /// # Errors
 ///
 /// An address is taken, or signals cannot be received.
 pub fn run(settings: GatewaySettings, adapter: Adapter) -> eyre::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let serving = serve(settings, adapter, executor.clone());
-    smol::block_on(executor.run(serving))
+    let server = serve(settings, adapter, executor.clone());
+    smol::block_on(executor.run(server))
 }
 
 async fn serve(
@@ -114,17 +114,17 @@
         executor,
     )?);
     let incarnation = daemon.core.borrow().incarnation();
-    daemon.note(Note::Started { incarnation });
+    daemon.log_event(LogEvent::Started { incarnation });
     daemon.spawn(daemon.log.clone().run());
     daemon.spawn(tick(daemon.clone()));
     daemon.spawn(reload_settings(daemon.clone(), reload, adapter.reload));
     peers::start(&daemon).await?;
     let sink: Rc<dyn Fn(Notice)> = {
         let daemon = daemon.clone();
-        Rc::new(move |notice| daemon.notice(notice))
+        Rc::new(move |notice| daemon.apply_update(notice))
     };
     daemon.spawn(daemon.deployment.clone().follow(sink));
-    ready::start(&daemon, ready, metrics);
+    monitoring::start(&daemon, ready, metrics);
     stop::serve_until_stopped(&daemon, callers, stop).await;
     Ok(())
 }
@@ -133,7 +133,7 @@
     let listener = TcpListener::bind(address)
         .await
         .wrap_err_with(|| format!("cannot listen on {address}"))?;
-    // The standard library's backlog overflows when many callers connect at once.
+    // The default backlog overflows when many callers connect at once.
     rustix::net::listen(&listener, BACKLOG)
         .wrap_err_with(|| format!("cannot set the backlog of {address}"))?;
     Ok(listener)
@@ -143,14 +143,14 @@
     loop {
         Timer::after(TICK_MS).await;
         let now = daemon.clock.now();
-        let keeps_watch = {
+        let is_polling_process = {
             let mut core = daemon.core.borrow_mut();
             core.tick(now);
-            core.fleet.keeps_watch(&daemon.settings.host)
+            core.fleet.is_polling_process(&daemon.settings.host)
         };
-        daemon.deployment.watch(keeps_watch);
-        daemon.after_decision();
-        daemon.meters.sort_samples();
+        daemon.deployment.watch(is_polling_process);
+        daemon.process_core_output();
+        daemon.recorder.run_upkeep();
     }
 }
 
@@ -161,7 +161,7 @@
 ) {
     while signals.next().await.is_some() {
         let error = reload().err();
-        daemon.note(Note::SettingsReloaded { error });
+        daemon.log_event(LogEvent::SettingsReload { error });
     }
 }
 
@@ -183,12 +183,12 @@
             protocol,
             deployment,
             clock: Rc::new(SystemClock),
-            is_staying: Cell::new(true),
+            is_in_service: Cell::new(true),
             executor,
             clients: RefCell::default(),
             peers: RefCell::default(),
             log: Log::new(&settings.host),
-            meters: Meters::install().wrap_err("cannot install the metrics recorder")?,
+            recorder: MetricsRecorder::install().wrap_err("cannot install the metrics recorder")?,
             settings,
         })
     }
@@ -201,45 +201,45 @@
         self.executor.clone()
     }
 
-    /// Logs what the daemon saw itself.
-    pub(crate) fn note(self: &Rc<Self>, note: Note) {
-        self.core.borrow_mut().note(note);
-        self.after_decision();
+    /// Logs an event of the daemon itself.
+    pub(crate) fn log_event(self: &Rc<Self>, event: LogEvent) {
+        self.core.borrow_mut().log_event(event);
+        self.process_core_output();
     }
 
-    fn notice(self: &Rc<Self>, notice: Notice) {
+    fn apply_update(self: &Rc<Self>, notice: Notice) {
         if let Notice::Peers(peers) = &notice {
             self.peers.replace(peers.clone());
         }
         let now = self.clock.now();
-        self.core.borrow_mut().notice(now, notice);
-        self.after_decision();
+        self.core.borrow_mut().apply_update(now, notice);
+        self.process_core_output();
     }
 
-    /// Carries out what decisions left to do.
-    pub(crate) fn after_decision(self: &Rc<Self>) {
-        let (notes, releases) = {
+    /// Writes the core's log events and releases its unused KV caches; due after each core call.
+    pub(crate) fn process_core_output(self: &Rc<Self>) {
+        let (log_events, unused_transfers) = {
             let mut core = self.core.borrow_mut();
-            (core.take_notes(), core.take_releases())
+            (core.take_log_events(), core.take_unused_transfers())
         };
-        for note in &notes {
-            Meters::note(note);
-            self.log.write(note);
+        for event in &log_events {
+            MetricsRecorder::record(event);
+            self.log.write(event);
         }
-        for transfer in releases {
+        for transfer in unused_transfers {
             self.spawn(release(self.clone(), transfer));
         }
     }
 
-    /// Client of a target's address.
+    /// HTTP client for an address, with its pool of connections.
     pub(crate) fn client(&self, address: SocketAddr) -> Client {
         let mut clients = self.clients.borrow_mut();
         let client = clients.entry(address).or_insert_with(|| {
             let limits = ClientLimits {
                 idle_connections: IDLE_CONNECTIONS,
-                idle_ms: IDLE_MS,
-                connect_ms: CONNECT_MS,
-                probe_ms: Some(PROBE_MS),
+                idle_ms: IDLE_TIMEOUT_MS,
+                connect_ms: CONNECT_TIMEOUT_MS,
+                probe_ms: Some(KEEPALIVE_MS),
                 body_until_close: true,
                 ..ClientLimits::default()
             };
@@ -252,8 +252,8 @@
     pub(crate) fn caller_limits(&self) -> ServerLimits {
         let core = self.core.borrow();
         let limits = core.configuration().map(|c| c.limits).unwrap_or_default();
-        let sockets = self.settings.socket_limit.saturating_sub(OWN_SOCKETS);
-        let bodies = self.settings.memory_bytes / BODIES_PART;
+        let sockets = self.settings.socket_limit.saturating_sub(RESERVED_SOCKETS);
+        let bodies = self.settings.memory_bytes / BODIES_MEMORY_DIVISOR;
         ServerLimits {
             connections: sockets,
             head_limit_bytes: limits.head_bytes,
@@ -270,19 +270,22 @@
     let client = daemon.client(transfer.address);
     let call = async {
         if let Ok(response) = client.forward(&head, &[], false, |_| true).await {
-            // Memory that is not freed now is freed by its engine a little later.
+            // On failure the engine releases the KV cache itself a little later.
             let _ = response.into_whole().await;
         }
     };
-    // The same for memory whose engine does not answer.
-    let _ = within(RELEASE_MS, Box::pin(call)).await;
+    // Likewise after a timeout.
+    let _ = with_timeout(RELEASE_TIMEOUT_MS, Box::pin(call)).await;
 }
 
-/// What a future gives, unless that takes longer than `limit_ms`.
-pub(super) async fn within<T>(limit_ms: Duration, awaited: impl Future<Output = T>) -> Option<T> {
-    let late = async {
-        Timer::after(limit_ms).await;
+/// Output of a future; `None` if it takes longer than `timeout_ms`.
+pub(super) async fn with_timeout<T>(
+    timeout_ms: Duration,
+    future: impl Future<Output = T>,
+) -> Option<T> {
+    let timeout = async {
+        Timer::after(timeout_ms).await;
         None
     };
-    smol::future::or(async { Some(awaited.await) }, late).await
+    smol::future::or(async { Some(future.await) }, timeout).await
 }
--- a/components/gateway/src/daemon/ready.rs
+++ b/components/gateway/src/daemon/monitoring.rs
@@ -1,4 +1,4 @@
-//! Questions of the load balancer, and metrics.
+//! Readiness probes of the load balancer, and metrics.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,67 +15,67 @@
 
 use crate::daemon::Daemon;
 
-/// Connections of the load balancer and of the collector of metrics.
-const CONNECTIONS: usize = 64;
-/// Time that an idle connection of either is kept.
-const IDLE_MS: Duration = Duration::from_mins(1);
+/// Most connections of the load balancer, and of the metrics collector.
+const CONNECTION_LIMIT: usize = 64;
+/// Time after which an idle connection of either is closed.
+const IDLE_TIMEOUT_MS: Duration = Duration::from_mins(1);
 
-/// Serves both until the process ends.
+/// Serves readiness probes and metrics until the process ends.
 pub(super) fn start(daemon: &Rc<Daemon>, ready: TcpListener, metrics: TcpListener) {
     let handlers: [(TcpListener, Rc<dyn Handler>); 2] = [
-        (ready, Rc::new(Ready(daemon.clone()))),
-        (metrics, Rc::new(Metrics(daemon.clone()))),
+        (ready, Rc::new(ReadinessHandler(daemon.clone()))),
+        (metrics, Rc::new(MetricsHandler(daemon.clone()))),
     ];
     for (listener, handler) in handlers {
         let limits = ServerLimits {
-            connections: CONNECTIONS,
-            idle_ms: IDLE_MS,
+            connections: CONNECTION_LIMIT,
+            idle_ms: IDLE_TIMEOUT_MS,
             ..ServerLimits::default()
         };
-        let (running, stop) = smol::channel::bounded(1);
-        let serving = http::serve(listener, limits, handler, daemon.executor(), stop);
+        let (shutdown_guard, stop) = smol::channel::bounded(1);
+        let server = http::serve(listener, limits, handler, daemon.executor(), stop);
         daemon.spawn(async move {
-            // Serving ends with the process; accept errors are waited out.
-            let _ = serving.await;
-            drop(running);
+            // Ends only with the process: accept errors are retried inside.
+            let _ = server.await;
+            drop(shutdown_guard);
         });
     }
 }
 
-struct Ready(Rc<Daemon>);
+struct ReadinessHandler(Rc<Daemon>);
 
-impl Handler for Ready {
+impl Handler for ReadinessHandler {
     fn admit(&self, _: &http_types::Request) -> Result<u64, Problem> {
         Ok(0)
     }
 
     fn handle<'a>(&'a self, _: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
-        let is_ready = self.0.is_staying.get() && self.0.core.borrow().is_ready();
+        let is_ready = self.0.is_in_service.get() && self.0.core.borrow().is_ready();
         let status = if is_ready {
             StatusCode::Ok
         } else {
             StatusCode::ServiceUnavailable
         };
         Box::pin(async move {
-            // The balancer asks again.
+            // A probe that fails is repeated.
             let _ = exchange.respond(Response::new(status), &[]).await;
         })
     }
 }
 
-struct Metrics(Rc<Daemon>);
+struct MetricsHandler(Rc<Daemon>);
 
-impl Handler for Metrics {
+impl Handler for MetricsHandler {
     fn admit(&self, _: &http_types::Request) -> Result<u64, Problem> {
         Ok(0)
     }
 
     fn handle<'a>(&'a self, _: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
-        let text = self.0.meters.render(&self.0.core.borrow());
+        let text = self.0.recorder.render(&self.0.core.borrow());
         Box::pin(async move {
             let mut head = Response::new(StatusCode::Ok);
             head.insert_header("content-type", "text/plain; version=0.0.4");
-            // The collector asks again.
+            // A scrape that fails is repeated.
             let _ = exchange.respond(head, text.as_bytes()).await;
         })
     }
--- a/components/gateway/src/daemon/peers.rs
+++ b/components/gateway/src/daemon/peers.rs
@@ -1,7 +1,7 @@
-//! Messages between gateways: what each one has sent where.
+//! Datagrams between gateway processes that report the load each one puts on the targets.
 //!
-//! A message holds all work of its sender, so that a lost one is made good by the next, and the
-//! readings since the last message. It is sent soon after something changed, and now and then
+//! A message holds the sender's whole load, so that the next message makes up for a lost one, and
+//! the prefills since the last message. It is sent soon after a change, and at a fixed interval
 //! otherwise.
 
 use std::net::SocketAddr;
@@ -16,30 +16,30 @@
 use types::HostName;
 use types::Incarnation;
 
-use crate::core::ReadingNews;
+use crate::core::PrefillReport;
 use crate::daemon::Daemon;
 use crate::deployment::NewsVersion;
 use crate::deployment::PeerEntry;
 use crate::fleet::Load;
 use crate::fleet::PeerLoad;
 use crate::fleet::TargetKey;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 use crate::prefixes::PrefixHash;
 
-/// Least time between two messages while something changes. Requests of other processes that come
-/// within it are placed without regard to what was just sent.
-const CHANGED_MS: Duration = Duration::from_millis(5);
-/// The same for each peer, so that a process sends at most some 1,200 datagrams a second.
-const CHANGED_PER_PEER_MS: Duration = Duration::from_micros(800);
-/// Time after which a message is sent though nothing has changed.
-const QUIET_MS: Duration = Duration::from_millis(500);
-/// Largest message; it fits into one packet of a usual network.
+/// Least time between two messages. Within it, peers place requests without knowing of the calls
+/// that this process has just made.
+const MIN_SEND_INTERVAL_MS: Duration = Duration::from_millis(5);
+/// The same per peer, which bounds a process to about 1,200 datagrams a second.
+const SEND_INTERVAL_PER_PEER_MS: Duration = Duration::from_micros(800);
+/// Interval of messages while nothing changes.
+const HEARTBEAT_MS: Duration = Duration::from_millis(500);
+/// Largest message; fits into one packet at the usual MTU.
 const MESSAGE_LIMIT_BYTES: usize = 1_400;
-/// Targets in one message, those with most to read first.
+/// Most targets in one message; those with the most queued prefill time go first.
 const LOADS_LIMIT: usize = 60;
-/// Readings in one message.
-const READINGS_LIMIT: usize = 12;
-/// Format of messages; others are ignored.
+/// Most prefills in one message.
+const PREFILLS_LIMIT: usize = 12;
+/// Format version of messages; messages of other versions are ignored.
 const FORMAT: u8 = 2;
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -47,27 +47,29 @@
     format: u8,
     host: HostName,
     incarnation: Incarnation,
-    /// Newest change of the deployment that the sender knows.
+    /// Version of the newest change in the store that the sender has applied.
     known: NewsVersion,
     loads: Vec<TargetLoad>,
-    readings: Vec<Reading>,
+    #[serde(rename = "readings")]
+    prefills: Vec<Prefill>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct TargetLoad {
     key: TargetKey,
-    reading_ms: u32,
+    #[serde(rename = "reading_ms")]
+    prefill_ms: u32,
     runs: u32,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Reading {
+struct Prefill {
     key: TargetKey,
     tokens: u64,
     hashes: Vec<PrefixHash>,
 }
 
-/// Sends and receives until the process ends.
+/// Sends and receives messages until the process ends.
 pub(super) async fn start(daemon: &Rc<Daemon>) -> eyre::Result<()> {
     let address = daemon.settings.peers;
     let socket = UdpSocket::bind(address)
@@ -82,27 +84,30 @@
     let mut bytes = [0; MESSAGE_LIMIT_BYTES];
     loop {
         match socket.recv_from(&mut bytes).await {
-            Ok((count, sender)) => take(&daemon, &bytes[..count], sender),
+            Ok((count, sender)) => handle_message(&daemon, &bytes[..count], sender),
             Err(error) => {
                 let detail = error.to_string();
-                daemon.note(Note::PeerIgnored { detail });
-                Timer::after(CHANGED_MS).await;
+                daemon.log_event(LogEvent::PeerMessageIgnored { detail });
+                Timer::after(MIN_SEND_INTERVAL_MS).await;
             }
         }
     }
 }
 
-fn take(daemon: &Rc<Daemon>, bytes: &[u8], sender: SocketAddr) {
+fn handle_message(daemon: &Rc<Daemon>, bytes: &[u8], sender: SocketAddr) {
     let message = match postcard::from_bytes::<Message>(bytes) {
         Ok(message) if message.format == FORMAT => message,
         Ok(message) => {
-            let detail = format!("{sender} speaks format {}", message.format);
-            daemon.note(Note::PeerIgnored { detail });
+            let detail = format!(
+                "message from {sender} has format {}, not {FORMAT}",
+                message.format
+            );
+            daemon.log_event(LogEvent::PeerMessageIgnored { detail });
             return;
         }
         Err(error) => {
-            let detail = format!("{sender}: {error}");
-            daemon.note(Note::PeerIgnored { detail });
+            let detail = format!("message from {sender}: {error}");
+            daemon.log_event(LogEvent::PeerMessageIgnored { detail });
             return;
         }
     };
@@ -111,26 +116,26 @@
         return;
     }
     daemon.deployment.peer_knows(message.known);
-    daemon.meet(&message.host, sender);
+    daemon.add_peer(&message.host, sender);
     let loads = message.loads.iter().map(|load| PeerLoad {
         key: load.key,
         load: Load {
-            reading_ms: f64::from(load.reading_ms),
+            prefill_ms: f64::from(load.prefill_ms),
             runs: f64::from(load.runs),
         },
     });
     let now = daemon.clock.now();
     core.fleet
-        .peer_reported(now, &message.host, loads.collect());
-    for reading in &message.readings {
+        .replace_peer_load(now, &message.host, loads.collect());
+    for prefill in &message.prefills {
         core.fleet
-            .peer_reads(reading.key, &reading.hashes, reading.tokens);
+            .record_peer_prefill(prefill.key, &prefill.hashes, prefill.tokens);
     }
 }
 
 impl Daemon {
-    /// Adds a process that started after the list of processes was read.
-    fn meet(&self, host: &HostName, address: SocketAddr) {
+    /// Adds a peer that started after the list of peers was read.
+    fn add_peer(&self, host: &HostName, address: SocketAddr) {
         let mut peers = self.peers.borrow_mut();
         if peers.iter().any(|peer| peer.address == address) {
             return;
@@ -145,49 +150,50 @@
 
 async fn send(daemon: Rc<Daemon>, socket: UdpSocket) {
     let mut last_loads = Vec::new();
-    let mut last_known = 0;
+    let mut last_known_version = 0;
     let mut sent = daemon.clock.now();
     loop {
         let peers = daemon.peers.borrow().len();
-        Timer::after(pause_ms(peers)).await;
+        Timer::after(send_interval_ms(peers)).await;
         let loads = own_loads(&daemon);
-        let news = daemon.core.borrow_mut().take_news();
+        let prefill_reports = daemon.core.borrow_mut().take_prefill_reports();
         let known = daemon.deployment.known();
-        let is_same = news.is_empty() && loads == last_loads && known == last_known;
+        let is_unchanged =
+            prefill_reports.is_empty() && loads == last_loads && known == last_known_version;
         let now = daemon.clock.now();
-        if is_same && now.saturating_duration_since(sent) < QUIET_MS {
+        if is_unchanged && now.saturating_duration_since(sent) < HEARTBEAT_MS {
             continue;
         }
         sent = now;
-        for readings in chunks(news) {
-            publish(&daemon, &socket, loads.clone(), readings).await;
+        for prefills in split_reports(prefill_reports) {
+            broadcast(&daemon, &socket, loads.clone(), prefills).await;
         }
         last_loads = loads;
-        last_known = known;
+        last_known_version = known;
     }
 }
 
-fn pause_ms(peers: usize) -> Duration {
+fn send_interval_ms(peers: usize) -> Duration {
     let peers = u32::try_from(peers).unwrap_or(u32::MAX);
-    CHANGED_MS.max(CHANGED_PER_PEER_MS.saturating_mul(peers))
+    MIN_SEND_INTERVAL_MS.max(SEND_INTERVAL_PER_PEER_MS.saturating_mul(peers))
 }
 
-fn chunks(news: Vec<ReadingNews>) -> Vec<Vec<Reading>> {
-    let readings = news.into_iter().map(|news| Reading {
-        key: news.key,
-        tokens: news.tokens,
-        hashes: news.hashes.into_vec(),
+fn split_reports(prefill_reports: Vec<PrefillReport>) -> Vec<Vec<Prefill>> {
+    let prefills = prefill_reports.into_iter().map(|report| Prefill {
+        key: report.key,
+        tokens: report.tokens,
+        hashes: report.hashes.into_vec(),
     });
     let mut chunks = vec![Vec::new()];
-    for reading in readings {
+    for prefill in prefills {
         if chunks
             .last()
-            .is_none_or(|last| last.len() == READINGS_LIMIT)
+            .is_none_or(|last| last.len() == PREFILLS_LIMIT)
         {
             chunks.push(Vec::new());
         }
         if let Some(last) = chunks.last_mut() {
-            last.push(reading);
+            last.push(prefill);
         }
     }
     chunks
@@ -196,21 +202,21 @@
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // loads are small and positive
 fn own_loads(daemon: &Daemon) -> Vec<TargetLoad> {
     let mut loads = daemon.core.borrow().fleet.own_loads();
-    loads.sort_by(|a, b| b.load.reading_ms.total_cmp(&a.load.reading_ms));
+    loads.sort_by(|a, b| b.load.prefill_ms.total_cmp(&a.load.prefill_ms));
     loads.truncate(LOADS_LIMIT);
     let loads = loads.iter().map(|own| TargetLoad {
         key: own.key,
-        reading_ms: own.load.reading_ms.round() as u32,
+        prefill_ms: own.load.prefill_ms.round() as u32,
         runs: own.load.runs.round() as u32,
     });
     loads.collect()
 }
 
-async fn publish(
+async fn broadcast(
     daemon: &Rc<Daemon>,
     socket: &UdpSocket,
     loads: Vec<TargetLoad>,
-    readings: Vec<Reading>,
+    prefills: Vec<Prefill>,
 ) {
     let message = Message {
         format: FORMAT,
@@ -218,24 +224,27 @@
         incarnation: daemon.core.borrow().incarnation(),
         known: daemon.deployment.known(),
         loads,
-        readings,
+        prefills,
     };
     let bytes = match postcard::to_stdvec(&message) {
         Ok(bytes) if bytes.len() <= MESSAGE_LIMIT_BYTES => bytes,
         Ok(bytes) => {
-            let detail = format!("own message of {} bytes is too long", bytes.len());
-            daemon.note(Note::PeerIgnored { detail });
+            let detail = format!(
+                "own message of {} bytes exceeds the limit of {MESSAGE_LIMIT_BYTES}",
+                bytes.len()
+            );
+            daemon.log_event(LogEvent::PeerMessageIgnored { detail });
             return;
         }
         Err(error) => {
-            let detail = format!("own message: {error}");
-            daemon.note(Note::PeerIgnored { detail });
+            let detail = format!("cannot encode own message: {error}");
+            daemon.log_event(LogEvent::PeerMessageIgnored { detail });
             return;
         }
     };
     let peers = daemon.peers.borrow().clone();
     for peer in peers {
-        // A datagram that is lost here is like one that is lost on the way.
+        // A failure to send is handled like a lost datagram.
         let _ = socket.send_to(&bytes, peer.address).await;
     }
 }
--- a/components/gateway/src/daemon/meters.rs
+++ b/components/gateway/src/daemon/recorder.rs
@@ -7,19 +7,19 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 
 use crate::core::Core;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 
-/// Bounds of the histograms, in seconds.
+/// Upper bounds of the histograms' buckets.
 const BUCKETS_S: [f64; 11] = [0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 6.0, 15.0];
 
-/// Recorder of this process.
-pub(super) struct Meters {
+/// Recorder of this process's metrics.
+pub(super) struct MetricsRecorder {
     handle: PrometheusHandle,
 }
 
-impl Meters {
-    /// Makes the recorder that of the whole process. A second call in the same process, as in
-    /// tests, records into the first one.
+impl MetricsRecorder {
+    /// Installs the global recorder. After a second call in one process, as in tests, the first
+    /// recorder stays in use.
     pub(super) fn install() -> eyre::Result<Self> {
         let recorder = PrometheusBuilder::new()
             .set_buckets(&BUCKETS_S)?
@@ -29,18 +29,18 @@
         Ok(Self { handle })
     }
 
-    /// Puts samples of histograms into their buckets.
-    pub(super) fn sort_samples(&self) {
+    /// Moves pending histogram samples into their buckets, which bounds the memory they take.
+    pub(super) fn run_upkeep(&self) {
         self.handle.run_upkeep();
     }
 
-    /// Records what a log event tells.
-    pub(super) fn note(note: &Note) {
-        match note {
-            Note::Sent { step, .. } => {
+    /// Updates the metrics for a log event.
+    pub(super) fn record(event: &LogEvent) {
+        match event {
+            LogEvent::TargetCalled { step, .. } => {
                 counter!("chervilspool_calls_total", "step" => *step).increment(1);
             }
-            Note::Ended {
+            LogEvent::RequestEnded {
                 route,
                 outcome,
                 status,
@@ -58,29 +58,29 @@
                 histogram!("chervilspool_request_seconds", "route" => route.clone())
                     .record(seconds(*took_ms));
             }
-            Note::Target { belief, .. } => {
-                let belief = format!("{belief:?}").to_lowercase();
-                counter!("chervilspool_target_changes_total", "belief" => belief).increment(1);
+            LogEvent::TargetChange { change, .. } => {
+                let change = format!("{change:?}").to_lowercase();
+                counter!("chervilspool_target_changes_total", "belief" => change).increment(1);
             }
-            Note::StoreLost { .. } => {
+            LogEvent::StoreUnavailable { .. } => {
                 counter!("chervilspool_store_outages_total").increment(1);
             }
-            Note::Unreadable { .. } => {
+            LogEvent::RowIgnored { .. } => {
                 counter!("chervilspool_unreadable_rows_total").increment(1);
             }
             _ => {}
         }
     }
 
-    /// All metrics as text.
+    /// Renders all metrics as text.
     pub(super) fn render(&self, core: &Core) -> String {
         gauge!("chervilspool_requests_in_flight").set(count(core.in_flight()));
-        gauge!("chervilspool_targets").set(count(core.fleet.members().count()));
+        gauge!("chervilspool_targets").set(count(core.fleet.targets().count()));
         gauge!("chervilspool_peers").set(count(core.fleet.peer_count()));
         let version = core.configuration().map_or(0, |current| current.version);
         #[allow(clippy::cast_precision_loss)] // exact up to 2^53
         gauge!("chervilspool_configuration_version").set(version as f64);
-        self.sort_samples();
+        self.run_upkeep();
         self.handle.render()
     }
 }
--- a/components/gateway/src/daemon/relay.rs
+++ b/components/gateway/src/daemon/relay.rs
@@ -1,4 +1,4 @@
-//! Answers of targets on their way to callers.
+//! Relays targets' answers to callers.
 
 use std::time::Duration;
 
@@ -8,77 +8,82 @@
 use http::StreamingResponse;
 use smol::Timer;
 
-use crate::core::Outcome;
-use crate::daemon::callers::OpenCall;
-use crate::daemon::within;
+use crate::core::CallOutcome;
+use crate::daemon::callers::AnsweredCall;
+use crate::daemon::with_timeout;
 use crate::events::EventSplitter;
 
-/// Relays an answer after it has arrived whole, so that a failure can still be reported.
-pub(super) async fn whole(
-    open: &OpenCall<'_>,
+/// Relays an answer after all of it has arrived, so that a failure can still be reported.
+pub(super) async fn buffered(
+    answered: &AnsweredCall<'_>,
     response: StreamingResponse,
     exchange: &mut Exchange,
     left: Duration,
-) -> Outcome {
+) -> CallOutcome {
     let status = u16::from(response.status);
-    let daemon = open.daemon;
+    let daemon = answered.daemon;
     let head = daemon.protocol.answer_head(status, &response.headers);
-    let lost = |detail: String| Outcome::Lost { detail };
+    let lost = |detail: String| CallOutcome::AnswerLost { detail };
     let body = match exchange
-        .or_hang_up(within(left, response.into_whole()))
+        .or_hang_up(with_timeout(left, response.into_whole()))
         .await
     {
-        Err(HungUp) => return Outcome::Abandoned,
+        Err(HungUp) => return CallOutcome::Abandoned,
         Ok(None) => {
-            return lost("the answer was interrupted: the body did not arrive in time".to_owned());
+            return lost(
+                "the answer was interrupted: its body did not arrive before the deadline"
+                    .to_owned(),
+            );
         }
         Ok(Some(Err(error))) => return lost(error.to_string()),
-        Ok(Some(Ok(whole))) => whole.body,
+        Ok(Some(Ok(complete))) => complete.body,
     };
     let now = daemon.clock.now();
-    if status >= 500 && daemon.core.borrow_mut().try_again(now, open.number) {
-        return Outcome::Failed { status };
+    if status >= 500 && daemon.core.borrow_mut().should_retry(now, answered.number) {
+        return CallOutcome::Failed { status };
     }
-    daemon.core.borrow_mut().first_byte(now, open.number);
+    daemon.core.borrow_mut().first_byte(now, answered.number);
     match exchange.respond(head, &body).await {
-        Ok(()) => Outcome::Answered { status },
-        Err(HungUp) => Outcome::Abandoned,
+        Ok(()) => CallOutcome::Answered { status },
+        Err(HungUp) => CallOutcome::Abandoned,
     }
 }
 
-/// Relays an event stream event by event.
+/// Relays an event stream, forwarding only complete events.
 pub(super) async fn stream(
-    open: &OpenCall<'_>,
+    answered: &AnsweredCall<'_>,
     mut response: StreamingResponse,
     exchange: &mut Exchange,
     left: Duration,
-) -> Outcome {
+) -> CallOutcome {
     let status = u16::from(response.status);
-    let daemon = open.daemon;
+    let daemon = answered.daemon;
     let mut head = Some(daemon.protocol.answer_head(status, &response.headers));
     if exchange.is_started() {
-        // The answer goes on under the head of its first target.
+        // A resumed stream continues under the head that the first target sent.
         head = None;
     }
     let mut events = EventSplitter::default();
     let mut deadline = Timer::after(left);
     loop {
         let next = async {
-            let late = async {
+            let timeout = async {
                 (&mut deadline).await;
                 None
             };
-            async { Some(response.next_chunk().await) }.or(late).await
+            async { Some(response.next_chunk().await) }
+                .or(timeout)
+                .await
         };
         let chunk = match exchange.or_hang_up(next).await {
-            Err(HungUp) => return Outcome::Abandoned,
+            Err(HungUp) => return CallOutcome::Abandoned,
             Ok(None) => {
-                return Outcome::TimedOut {
+                return CallOutcome::TimedOut {
                     is_started: exchange.is_started(),
                 };
             }
             Ok(Some(Err(error))) => {
-                return Outcome::Broken {
+                return CallOutcome::Broken {
                     last_event: events.last_id().map(str::to_owned),
                     is_started: exchange.is_started(),
                     detail: error.to_string(),
@@ -87,20 +92,20 @@
             Ok(Some(Ok(chunk))) => chunk,
         };
         let Some(chunk) = chunk else { break };
-        let Some(whole) = events.push(&chunk) else {
+        let Some(complete) = events.push(&chunk) else {
             continue;
         };
         if let Some(head) = head.take() {
             exchange.queue_head(head);
             let now = daemon.clock.now();
-            daemon.core.borrow_mut().first_byte(now, open.number);
+            daemon.core.borrow_mut().first_byte(now, answered.number);
         }
-        if exchange.write(&whole).await.is_err() {
-            return Outcome::Abandoned;
+        if exchange.write(&complete).await.is_err() {
+            return CallOutcome::Abandoned;
         }
     }
     if !events.rest().is_empty() {
-        return Outcome::Broken {
+        return CallOutcome::Broken {
             last_event: events.last_id().map(str::to_owned),
             is_started: exchange.is_started(),
             detail: "the stream ended in the middle of an event".to_owned(),
@@ -110,7 +115,7 @@
         exchange.queue_head(head);
     }
     match exchange.finish().await {
-        Ok(()) => Outcome::Answered { status },
-        Err(HungUp) => Outcome::Abandoned,
+        Ok(()) => CallOutcome::Answered { status },
+        Err(HungUp) => CallOutcome::Abandoned,
     }
 }
--- a/components/gateway/src/daemon/stop.rs
+++ b/components/gateway/src/daemon/stop.rs
@@ -1,4 +1,5 @@
-//! Graceful stop: tell the balancer, accept until it has noticed, finish everything, end.
+//! Graceful shutdown: fail the readiness probe, accept requests until the load balancer has
+//! noticed, finish the requests in flight, exit.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,12 +11,12 @@
 
 use crate::daemon::Daemon;
 use crate::daemon::callers::Callers;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 
-/// Time in which the balancer notices: it asks once a second and acts on the second miss.
-const NOTICE_MS: Duration = Duration::from_millis(2_500);
-/// Part of the grace time after which the process ends whatever is still running.
-const GRACE_PART: f64 = 0.97;
+/// Time in which the load balancer notices: it probes once a second and acts on the second failure.
+const BALANCER_NOTICE_MS: Duration = Duration::from_millis(2_500);
+/// Fraction of the grace period after which the process exits even if requests are in flight.
+const GRACE_FRACTION: f64 = 0.97;
 
 /// Serves callers until a signal arrives and their requests have ended.
 pub(super) async fn serve_until_stopped(
@@ -28,30 +29,30 @@
         daemon: daemon.clone(),
     });
     let limits = daemon.caller_limits();
-    let serving = http::serve(listener, limits, handler, daemon.executor(), stop);
-    let (finished, finishing) = smol::channel::bounded::<()>(1);
+    let server = http::serve(listener, limits, handler, daemon.executor(), stop);
+    let (server_ended_guard, server_ended) = smol::channel::bounded::<()>(1);
     daemon.spawn(async move {
-        // Serving ends when `running` is closed and all connections are finished.
-        let _ = serving.await;
-        drop(finished);
+        // The server ends when `running` is dropped and all connections have closed.
+        let _ = server.await;
+        drop(server_ended_guard);
     });
-    // The stream of signals does not end.
+    // `None` is impossible: the stream of signals does not end.
     let _ = signals.next().await;
-    daemon.is_staying.set(false);
+    daemon.is_in_service.set(false);
     let in_flight = daemon.core.borrow().in_flight();
-    daemon.note(Note::Stopping { in_flight });
-    Timer::after(NOTICE_MS).await;
+    daemon.log_event(LogEvent::Stopping { in_flight });
+    Timer::after(BALANCER_NOTICE_MS).await;
     drop(running);
-    let grace = daemon.settings.stop_grace_ms.mul_f64(GRACE_PART);
-    let late = async {
-        Timer::after(grace.saturating_sub(NOTICE_MS)).await;
+    let grace = daemon.settings.stop_grace_ms.mul_f64(GRACE_FRACTION);
+    let timeout = async {
+        Timer::after(grace.saturating_sub(BALANCER_NOTICE_MS)).await;
     };
     let all_finished = async {
-        // Fails when the last connection has ended.
-        let _ = finishing.recv().await;
+        // Returns an error once the server has ended and `server_ended_guard` is dropped.
+        let _ = server_ended.recv().await;
     };
-    smol::future::or(all_finished, late).await;
+    smol::future::or(all_finished, timeout).await;
     let in_flight = daemon.core.borrow().in_flight();
-    daemon.note(Note::Stopped { in_flight });
+    daemon.log_event(LogEvent::Stopped { in_flight });
     daemon.log.flush();
 }
--- a/components/gateway/src/deployment.rs
+++ b/components/gateway/src/deployment.rs
@@ -1,8 +1,7 @@
-//! What the platform tells about the deployment: configuration, targets and peers.
+//! Configuration, targets and peers of the deployment, as the platform reports them.
 //!
 //! An adapter decodes the platform's messages into these types and sends them as [`Notice`]s.
-//! What is believed of a target after conflicting or missing notices is decided in
-//! [`crate::fleet`], not here.
+//! [`crate::fleet`] decides on a target's state when notices are missing or contradict each other.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +17,7 @@
 
 /// Version of the whole configuration.
 pub type ConfigurationVersion = u64;
-/// Version of the newest change that a process knows; one counter for all changes.
+/// Version of the newest change in the store that a process has applied; one counter for all rows.
 pub type NewsVersion = u64;
 /// Route, unique within a configuration.
 pub type RouteName = String;
@@ -28,89 +27,89 @@
 pub struct Configuration {
     /// Grows with every change, in uneven steps.
     pub version: ConfigurationVersion,
-    /// Routes in the operators' order.
+    /// Routes, in the order in which operators wrote them.
     pub routes: Vec<Rc<Route>>,
     /// Services by name.
     pub services: BTreeMap<ServiceName, ServiceFacts>,
-    /// What callers may send.
+    /// Limits on callers' connections and requests.
     pub limits: CallerLimits,
 }
 
-/// What may be repeated of a request.
+/// Retry policy of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// It may run once at most.
+    /// A request may run at most once.
     Once,
-    /// It may run once at most, but its stream may go on at another target.
+    /// A request may run at most once, but its stream may be resumed on another target.
     Resumable,
 }
 
-/// Share of a route that a service gets.
+/// Share of a route's requests that a service gets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Split {
-    /// Service.
+    /// Service that gets the requests.
     pub service: ServiceName,
-    /// Relative weight.
+    /// Weight relative to the sum over the route.
     pub weight: u32,
 }
 
 /// Rule for requests of one host and path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name.
+    /// Name, as logs and metrics show it.
     pub name: RouteName,
-    /// Value of the `Host` field.
+    /// Value of the `Host` field, without a port.
     pub host: String,
     /// Beginning of the path, with a slash at both ends.
     pub path_prefix: String,
-    /// Services that requests go to; one without a split.
+    /// Services that requests are split over by weight; a single one if there is no split.
     pub split: SmallVec<[Split; 2]>,
-    /// Whether and how it may be repeated.
+    /// Whether and how a request may be retried.
     pub repeat: Repeat,
-    /// Longest time until the final answer.
+    /// Longest time from arrival to the end of the answer.
     pub timeout_ms: Duration,
-    /// Time to the first byte within which an answer is on time.
+    /// Latency objective: time from arrival to the first byte.
     pub aim_ms: Duration,
-    /// Time without an event after which callers give a stream up, also before its first event.
+    /// Time without an event after which callers give up, also before the first event.
     pub silence_limit_ms: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority at the engine; 0 is the highest.
     pub priority: u8,
-    /// Targets that may run one request, one after the other.
+    /// Most calls that may run one request, the first one included.
     pub attempt_limit: u32,
 }
 
-/// A service.
+/// Properties of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceFacts {
-    /// Facts of model engines; `None` for plain services.
+    /// Properties of the engines of a model service; `None` for plain services.
     pub engine: Option<EngineFacts>,
 }
 
-/// What all engines of a model service have in common.
+/// Properties that all engines of a model service share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineFacts {
-    /// Requests in a batch.
+    /// Most requests in a batch.
     pub slots: u32,
-    /// Memory for prompts and answers.
+    /// Capacity of the KV cache.
     pub memory_tokens: u64,
-    /// Size of the memory of one token.
+    /// Size of one token in the KV cache.
     pub token_bytes: u64,
-    /// Bandwidth between engines, in bits.
+    /// Bandwidth of the link between two engines.
     pub link_bits_per_s: f64,
 }
 
-/// Bounds on callers' connections.
+/// Limits on callers' connections and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head.
+    /// Largest head of a request.
     pub head_bytes: usize,
-    /// Largest body.
+    /// Largest body of a request.
     pub body_bytes: usize,
     /// Longest time from the first to the last byte of a head.
     pub head_ms: Duration,
-    /// Longest time between two requests of a connection.
+    /// Longest time that a connection may be idle between two requests.
     pub idle_ms: Duration,
 }
 
@@ -125,80 +124,80 @@
     }
 }
 
-/// What a target says of itself.
+/// Entry that a target writes into the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetEntry {
     /// Name, unique within the deployment.
     pub name: TargetName,
-    /// Time of its start; another value under the same name is another process.
+    /// Start time of the process; another value under the same name means a restart.
     pub born_ms: u64,
-    /// Service that it serves.
+    /// Service that the target belongs to.
     pub service: ServiceName,
     /// Where requests are sent.
     pub address: SocketAddr,
-    /// Data centre.
+    /// Data centre of its host.
     pub data_centre: Place,
-    /// Requests that it serves at once.
+    /// Most requests that the target serves at once.
     pub slots: u32,
-    /// It finishes what it has and takes nothing new.
+    /// Draining: the target finishes its requests and takes no new ones.
     pub is_leaving: bool,
-    /// Part of the work that an engine does.
+    /// Role of an engine: prefill, decode or both.
     pub role: Role,
 }
 
-/// Another process of the system.
+/// Another gateway process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerEntry {
-    /// Host.
+    /// Host that it runs on.
     pub host: HostName,
-    /// Where its datagrams are received.
+    /// Address on which it receives datagrams of peers.
     pub address: SocketAddr,
 }
 
-/// News from the platform.
+/// Update from the platform.
 #[derive(Debug, Clone)]
 pub enum Notice {
-    /// A version of the configuration.
+    /// The whole configuration was read.
     Configuration(Rc<Configuration>),
     /// A target's entry was written.
     TargetWritten(TargetEntry),
-    /// A target's entry was removed, or cannot be read any more.
+    /// A target's entry was removed or became unreadable.
     TargetRemoved(TargetName),
-    /// All entries of targets at one moment.
+    /// Snapshot of all targets' entries.
     AllTargets(Vec<TargetEntry>),
-    /// All other processes of the system.
+    /// Complete list of the other gateway processes.
     Peers(Vec<PeerEntry>),
-    /// A row that was ignored, and why.
+    /// A row could not be decoded and was ignored.
     Unreadable {
         /// Table and key.
         row: String,
         /// Cause.
         detail: String,
     },
-    /// The store does not answer, or refuses.
+    /// The store became unavailable: it does not answer, or it refuses requests.
     StoreLost {
         /// Cause.
         detail: String,
     },
-    /// The store answers again.
+    /// The store is available again.
     StoreBack,
 }
 
-/// Source of notices.
+/// Source of updates about the deployment.
 pub trait Deployment {
-    /// Follows the platform until the process ends. `sink` takes every notice.
+    /// Watches the platform until the process ends, and passes every update to `sink`.
     fn follow(
         self: Rc<Self>,
         sink: Rc<dyn Fn(Notice)>,
     ) -> std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
-    /// Newest change that is known here; 0 before the first.
+    /// Version of the newest change applied here; 0 before the first.
     fn known(&self) -> NewsVersion;
 
-    /// A peer knows the changes up to `version`.
+    /// Tells that a peer has applied the changes up to `version`.
     fn peer_knows(&self, version: NewsVersion);
 
-    /// Whether to look for changes so often that a platform which fell silent is noticed at once.
-    /// Other processes rely on what their peers know.
+    /// Sets whether to poll often enough to detect at once that the platform has stopped answering.
+    /// The other processes poll less often and rely on the versions that their peers report.
     fn watch(&self, is_watching: bool);
 }
--- a/components/gateway/src/events.rs
+++ b/components/gateway/src/events.rs
@@ -1,6 +1,6 @@
-//! Splits the body of an event stream into whole events.
+//! Splits the body of a server-sent event stream into complete events.
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
@@ -8,25 +8,25 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes of the body and returns the whole events among them.
+    /// Adds bytes of the body and returns the events that are complete by now.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Vec<u8>> {
         self.pending.extend_from_slice(bytes);
         let end = last_event_end(&self.pending)?;
         let rest = self.pending.split_off(end);
-        let whole = std::mem::replace(&mut self.pending, rest);
-        if let Some(id) = last_id(&whole) {
+        let complete = std::mem::replace(&mut self.pending, rest);
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
-    /// Bytes after the last whole event.
+    /// Bytes after the last complete event.
     #[must_use]
     pub fn rest(&self) -> &[u8] {
         &self.pending
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event that has one.
     #[must_use]
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
@@ -34,9 +34,11 @@
 }
 
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
-    let end_of = |mark: &[u8]| {
-        let at = bytes.windows(mark.len()).rposition(|window| window == mark);
-        at.map(|at| at + mark.len())
+    let end_of = |separator: &[u8]| {
+        let at = bytes
+            .windows(separator.len())
+            .rposition(|window| window == separator);
+        at.map(|at| at + separator.len())
     };
     end_of(b"\n\n").max(end_of(b"\r\n\r\n"))
 }
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -1,9 +1,9 @@
-//! What is believed of each target: whether it takes new work, how loaded it is, how well it does.
+//! State of all targets: membership, health, load and prefill speed.
 //!
-//! Sources are the platform's notices, this process's own calls, and what peers say of theirs.
-//! Load patterns that this module answers: several processes that place work on the same targets
-//! at the same moment (loads of peers are added to the own ones), targets that fail or fall silent
-//! (ejection), and a store that loses entries while it is away (entries are kept for a grace time).
+//! It is built from the platform's updates, the outcomes of this process's calls and the reports of
+//! peers. Several processes place work on the same targets at once, so the load of peers is added
+//! to this process's own. Targets that fail or stop answering are ejected. A store can lose entries
+//! during an outage, so entries that are missing afterwards are kept for a grace period.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -16,477 +16,498 @@
 use types::TargetName;
 
 use crate::deployment::TargetEntry;
-use crate::prefixes::Holder;
+use crate::prefixes::InstanceId;
 use crate::prefixes::PrefixHash;
-use crate::prefixes::PrefixHints;
+use crate::prefixes::PrefixIndex;
 use crate::speed::FIRST_EVENT_MS;
-use crate::speed::Pace;
-
-/// Time after the store's return in which entries that lapsed while it was away come back.
-pub const RETURN_MS: Duration = Duration::from_secs(2);
-/// Time without a message after which a peer's load is taken for gone.
-pub const PEER_SILENCE_MS: Duration = Duration::from_millis(1_500);
-/// Processes that watch the platform for all. They may fail or be cut off one by one.
-const WATCHES: usize = 3;
-/// Time for which a target that could not be connected to gets no work.
-const UNREACHABLE_MS: Duration = Duration::from_secs(1);
-/// Durations of the first ejection and of the longest one. Engines that crash are back within
-/// about five seconds.
+use crate::speed::PrefillSpeed;
+
+/// Grace period after a store outage in which targets renew entries that expired during it.
+pub const STORE_RECOVERY_MS: Duration = Duration::from_secs(2);
+/// Time without a message after which a peer and its load are dropped.
+pub const PEER_TIMEOUT_MS: Duration = Duration::from_millis(1_500);
+/// Number of processes that poll the platform often; several, so that single ones may fail.
+const POLLING_PROCESSES: usize = 3;
+/// Time for which a target gets no work after a failed connection attempt.
+const UNREACHABLE_BACKOFF_MS: Duration = Duration::from_secs(1);
+/// Durations of the first and of the longest ejection. Crashed engines restart within about five
+/// seconds.
 const EJECTION_MS: (Duration, Duration) = (Duration::from_millis(1_500), Duration::from_secs(6));
-/// Weight of one more outcome in the running share of failures.
+/// Weight of a new outcome in the moving average of the failure rate.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// Short name of a target's run in messages between processes.
+/// Id of one run of a target, derived from its entry and so the same in all processes.
 pub type TargetKey = u64;
 
-/// Work on a target that has not ended.
+/// Unfinished work on a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Engine time of prompts that are being read or wait for it.
-    pub reading_ms: f64,
-    /// Requests that are running or wait for it.
+    /// Prefill time at nominal speed, queued and in progress.
+    pub prefill_ms: f64,
+    /// Requests, queued and running.
     pub runs: f64,
 }
 
 impl Load {
     fn add(&mut self, other: Self) {
-        self.reading_ms += other.reading_ms;
+        self.prefill_ms += other.prefill_ms;
         self.runs += other.runs;
     }
 
     fn subtract(&mut self, other: Self) {
-        self.reading_ms = (self.reading_ms - other.reading_ms).max(0.0);
+        self.prefill_ms = (self.prefill_ms - other.prefill_ms).max(0.0);
         self.runs = (self.runs - other.runs).max(0.0);
     }
 }
 
-/// A target.
+/// State of one target.
 #[derive(Debug)]
-pub struct Member {
-    /// Its last entry.
+pub struct TargetState {
+    /// Latest entry that the target wrote.
     pub entry: TargetEntry,
-    /// Short name.
+    /// Id of this run in messages between processes.
     pub key: TargetKey,
-    /// Position of this run in [`PrefixHints`].
-    pub holder: Holder,
-    /// Work from this process.
-    pub own: Load,
-    /// Work from peers.
-    pub others: Load,
-    /// Speed of its readings.
-    pace: Pace,
-    /// When it will have read all prompts that are known to be there.
-    read_by: Option<Instant>,
-    /// Share of recent calls that failed.
+    /// Id of this run in [`PrefixIndex`].
+    pub instance: InstanceId,
+    /// Work that this process sent.
+    pub own_load: Load,
+    /// Work that peers sent, as they report it.
+    pub peer_load: Load,
+    prefill_speed: PrefillSpeed,
+    /// Expected end of all known prefills; `None` before the first.
+    prefills_done_at: Option<Instant>,
+    /// Moving average of the failure rate, from 0 to 1.
     pub failures: f64,
     missing_since: Option<Instant>,
     unreachable_until: Option<Instant>,
     ejection: Ejection,
 }
 
-impl Member {
-    /// All work that is known.
+impl TargetState {
+    /// Work of this process and of its peers.
     #[must_use]
     pub fn load(&self) -> Load {
-        let mut load = self.own;
-        load.add(self.others);
+        let mut load = self.own_load;
+        load.add(self.peer_load);
         load
     }
 
-    /// Time that readings take, relative to the nominal speed.
+    /// Measured duration of prefills relative to the nominal one; 1 at nominal speed.
     #[must_use]
-    pub fn slowness(&self) -> f64 {
-        self.pace.slowness()
+    pub fn slowdown(&self) -> f64 {
+        self.prefill_speed.slowdown()
     }
 
-    /// Time until it can begin with another prompt.
+    /// Expected time until a new prefill can start.
     #[must_use]
     pub fn wait_ms(&self, now: Instant) -> f64 {
-        let left = self.read_by.map(|by| by.saturating_duration_since(now));
+        let left = self
+            .prefills_done_at
+            .map(|at| at.saturating_duration_since(now));
         left.unwrap_or_default().as_secs_f64() * 1e3
     }
 
-    /// More prompts are there.
-    fn has_more_to_read(&mut self, now: Instant, reading_ms: f64) {
-        let from = self.read_by.map_or(now, |by| by.max(now));
-        self.read_by = Some(from + millis(reading_ms * self.slowness()));
+    /// Adds prefills of `prefill_ms` at nominal speed to the expected queue.
+    fn extend_prefill_queue(&mut self, now: Instant, prefill_ms: f64) {
+        let from = self.prefills_done_at.map_or(now, |at| at.max(now));
+        self.prefills_done_at = Some(from + millis(prefill_ms * self.slowdown()));
     }
 
-    /// A prompt was read. The engine went on with the next one when it had, and the news took as
-    /// long as a first event.
-    fn has_less_to_read(&mut self, now: Instant) {
-        let rest_ms = self.load().reading_ms * self.slowness();
-        self.read_by = Some(now + millis((rest_ms - FIRST_EVENT_MS).max(0.0)));
+    /// Recomputes the expected queue after a prefill. Its end is reported with the first event, at
+    /// which time the engine has worked on the next prefill for `FIRST_EVENT_MS`.
+    fn shorten_prefill_queue(&mut self, now: Instant) {
+        let rest_ms = self.load().prefill_ms * self.slowdown();
+        self.prefills_done_at = Some(now + millis((rest_ms - FIRST_EVENT_MS).max(0.0)));
     }
 
-    /// Whether it is well enough for new work.
+    /// Whether the target is neither ejected nor unreachable.
     #[must_use]
-    pub fn is_well(&self, now: Instant) -> bool {
+    pub fn is_healthy(&self, now: Instant) -> bool {
         self.ejection.until(now).is_none()
             && self.unreachable_until.is_none_or(|until| until <= now)
     }
 }
 
-/// Whether the store can be asked.
+/// State of the connection to the store, with the time at which an outage ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StoreState {
-    Away,
-    BackSince(Instant),
-    Steady,
+    Unavailable,
+    RecoveredAt(Instant),
+    Available,
 }
 
-/// Load of one target as a peer reports it.
+/// Load on one target as a peer reports it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PeerLoad {
-    /// Target.
+    /// Run of the target.
     pub key: TargetKey,
-    /// The peer's work there.
+    /// Work that the peer sent.
     pub load: Load,
 }
 
 #[derive(Debug)]
 struct Peer {
-    heard: Instant,
+    last_seen: Instant,
     loads: HashMap<TargetKey, Load>,
 }
 
-/// What changed in the belief about a target, for logs.
+/// Change of a target's state, for the log and the metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Belief {
-    /// First seen, or started again.
+pub enum TargetChange {
+    /// Seen for the first time, or restarted.
     New,
-    /// Takes no new work from now on.
+    /// Shutting down; takes no new work.
     Leaving,
-    /// Takes new work again.
+    /// Takes new work again after `Leaving`, or has its entry again after `Missing`.
     Back,
-    /// Its entry is missing just after an outage of the store; it is used for a while.
+    /// Entry missing during or just after a store outage; still used for the grace period.
     Missing,
-    /// Removed.
+    /// Removed from the fleet.
     Gone,
-    /// Shut out because of failures.
+    /// Excluded for a while because of failures.
     Ejected,
 }
 
-/// All targets.
+/// All targets and the peers that report load on them.
 #[derive(Debug)]
 pub struct Fleet {
-    members: BTreeMap<TargetName, Member>,
+    targets: BTreeMap<TargetName, TargetState>,
     peers: HashMap<HostName, Peer>,
-    /// Prefix hints.
-    pub hints: PrefixHints,
+    /// Prefixes that the targets probably have cached.
+    pub prefix_index: PrefixIndex,
     store: StoreState,
-    next_holder: Holder,
+    next_instance: InstanceId,
 }
 
 impl Default for Fleet {
     fn default() -> Self {
         Self {
-            members: BTreeMap::new(),
+            targets: BTreeMap::new(),
             peers: HashMap::new(),
-            hints: PrefixHints::default(),
-            store: StoreState::Steady,
-            next_holder: 0,
+            prefix_index: PrefixIndex::default(),
+            store: StoreState::Available,
+            next_instance: 0,
         }
     }
 }
 
 impl Fleet {
-    /// A target by its name.
+    /// State of a target by its name.
     #[must_use]
-    pub fn get(&self, name: &str) -> Option<&Member> {
-        self.members.get(name)
+    pub fn get(&self, name: &str) -> Option<&TargetState> {
+        self.targets.get(name)
     }
 
-    /// Targets that are not gone.
-    pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.members.values()
+    /// All targets, including those that are leaving or unhealthy.
+    pub fn targets(&self) -> impl Iterator<Item = &TargetState> {
+        self.targets.values()
     }
 
-    /// Targets of a service that may get new work. Those that seem unwell are left out unless all
-    /// of their role are.
+    /// Targets of a service that may get new work. Unhealthy ones are left out unless all of their
+    /// role are unhealthy.
     #[must_use]
-    pub fn usable(&self, service: &ServiceName, now: Instant) -> Vec<&Member> {
-        let open = self
-            .members
+    pub fn usable(&self, service: &ServiceName, now: Instant) -> Vec<&TargetState> {
+        let candidates = self
+            .targets
             .values()
-            .filter(|member| member.entry.service == *service && !member.entry.is_leaving);
-        let (mut usable, unwell): (Vec<_>, Vec<_>) = open.partition(|member| member.is_well(now));
-        let roles: Vec<_> = usable.iter().map(|member| member.entry.role).collect();
-        // An engine of one role cannot stand in for one of another.
-        let alone = unwell
+            .filter(|state| state.entry.service == *service && !state.entry.is_leaving);
+        let (mut usable, unhealthy): (Vec<_>, Vec<_>) =
+            candidates.partition(|state| state.is_healthy(now));
+        let roles: Vec<_> = usable.iter().map(|state| state.entry.role).collect();
+        // An engine of one role cannot replace one of another.
+        let last_resort = unhealthy
             .into_iter()
             .filter(|m| !roles.contains(&m.entry.role));
-        usable.extend(alone);
+        usable.extend(last_resort);
         usable
     }
 
-    /// The store stopped answering.
-    pub fn store_lost(&mut self) {
-        self.store = StoreState::Away;
+    /// Keeps targets whose entries go missing, until the grace period after the outage ends.
+    pub fn set_store_unavailable(&mut self) {
+        self.store = StoreState::Unavailable;
     }
 
-    /// The store answers again.
-    pub fn store_back(&mut self, now: Instant) {
-        if self.store == StoreState::Away {
-            self.store = StoreState::BackSince(now);
+    /// Starts the grace period if the store was unavailable.
+    pub fn set_store_available(&mut self, now: Instant) {
+        if self.store == StoreState::Unavailable {
+            self.store = StoreState::RecoveredAt(now);
         }
     }
 
-    /// A target's entry was written.
-    pub fn written(&mut self, entry: TargetEntry) -> Option<Belief> {
-        if let Some(member) = self.members.get_mut(&entry.name) {
+    /// Adds or updates a target. Returns what changed.
+    pub fn write_entry(&mut self, entry: TargetEntry) -> Option<TargetChange> {
+        if let Some(state) = self.targets.get_mut(&entry.name) {
             let is_same_run =
-                member.entry.born_ms == entry.born_ms && member.entry.address == entry.address;
+                state.entry.born_ms == entry.born_ms && state.entry.address == entry.address;
             if is_same_run {
-                let was_leaving = std::mem::replace(&mut member.entry, entry).is_leaving;
-                let was_missing = member.missing_since.take().is_some();
-                return match (was_leaving, member.entry.is_leaving) {
-                    (false, true) => Some(Belief::Leaving),
-                    (true, false) => Some(Belief::Back),
-                    _ => was_missing.then_some(Belief::Back),
+                let was_leaving = std::mem::replace(&mut state.entry, entry).is_leaving;
+                let was_missing = state.missing_since.take().is_some();
+                return match (was_leaving, state.entry.is_leaving) {
+                    (false, true) => Some(TargetChange::Leaving),
+                    (true, false) => Some(TargetChange::Back),
+                    _ => was_missing.then_some(TargetChange::Back),
                 };
             }
-            self.hints.forget(member.holder);
+            self.prefix_index.remove_instance(state.instance);
         }
-        self.next_holder += 1;
-        let member = Member {
+        self.next_instance += 1;
+        let state = TargetState {
             key: key(&entry),
-            holder: self.next_holder,
-            own: Load::default(),
-            others: Load::default(),
-            pace: Pace::default(),
-            read_by: None,
+            instance: self.next_instance,
+            own_load: Load::default(),
+            peer_load: Load::default(),
+            prefill_speed: PrefillSpeed::default(),
+            prefills_done_at: None,
             failures: 0.0,
             missing_since: None,
             unreachable_until: None,
             ejection: Ejection::default(),
             entry,
         };
-        self.members.insert(member.entry.name.clone(), member);
-        Some(Belief::New)
+        self.targets.insert(state.entry.name.clone(), state);
+        Some(TargetChange::New)
     }
 
-    /// A target's entry was removed.
-    pub fn removed(&mut self, now: Instant, name: &str) -> Option<Belief> {
-        let is_graced = self.is_after_outage(now);
-        let member = self.members.get_mut(name)?;
-        if is_graced && !member.entry.is_leaving {
-            member.missing_since.get_or_insert(now);
-            return Some(Belief::Missing);
+    /// Removes a target, or marks it as missing in a grace period. Returns what changed.
+    pub fn remove_entry(&mut self, now: Instant, name: &str) -> Option<TargetChange> {
+        let is_in_grace = self.is_in_grace_period(now);
+        let state = self.targets.get_mut(name)?;
+        if is_in_grace && !state.entry.is_leaving {
+            state.missing_since.get_or_insert(now);
+            return Some(TargetChange::Missing);
         }
-        self.drop_member(name);
-        Some(Belief::Gone)
+        self.remove_target(name);
+        Some(TargetChange::Gone)
     }
 
-    /// All entries at one moment. Returns what changed.
-    pub fn replaced(
+    /// Applies a snapshot of all entries. Returns what changed.
+    pub fn replace_entries(
         &mut self,
         now: Instant,
         entries: Vec<TargetEntry>,
-    ) -> Vec<(TargetName, Belief)> {
+    ) -> Vec<(TargetName, TargetChange)> {
         let listed: std::collections::BTreeSet<_> =
             entries.iter().map(|entry| entry.name.clone()).collect();
         let absent: Vec<_> = self
-            .members
+            .targets
             .keys()
             .filter(|name| !listed.contains(*name))
             .cloned()
             .collect();
         let mut changes = Vec::new();
         for name in absent {
-            if let Some(belief) = self.removed(now, &name) {
-                changes.push((name, belief));
+            if let Some(change) = self.remove_entry(now, &name) {
+                changes.push((name, change));
             }
         }
         for entry in entries {
             let name = entry.name.clone();
-            if let Some(belief) = self.written(entry) {
-                changes.push((name, belief));
+            if let Some(change) = self.write_entry(entry) {
+                changes.push((name, change));
             }
         }
         changes
     }
 
-    /// Ends grace times and forgets silent peers. Returns what changed.
-    pub fn tick(&mut self, now: Instant) -> Vec<(TargetName, Belief)> {
-        if let StoreState::BackSince(since) = self.store
-            && now.saturating_duration_since(since) > RETURN_MS
+    /// Removes peers that timed out and targets whose grace period ended. Returns what changed.
+    pub fn tick(&mut self, now: Instant) -> Vec<(TargetName, TargetChange)> {
+        if let StoreState::RecoveredAt(since) = self.store
+            && now.saturating_duration_since(since) > STORE_RECOVERY_MS
         {
-            self.store = StoreState::Steady;
+            self.store = StoreState::Available;
         }
-        let silent: Vec<_> = self
+        let expired: Vec<_> = self
             .peers
             .iter()
-            .filter(|(_, peer)| now.saturating_duration_since(peer.heard) > PEER_SILENCE_MS)
+            .filter(|(_, peer)| now.saturating_duration_since(peer.last_seen) > PEER_TIMEOUT_MS)
             .map(|(host, _)| host.clone())
             .collect();
-        for host in silent {
-            self.forget_peer(&host);
+        for host in expired {
+            self.remove_peer(&host);
         }
-        if self.is_after_outage(now) {
+        if self.is_in_grace_period(now) {
             return Vec::new();
         }
         let gone: Vec<_> = self
-            .members
+            .targets
             .values()
-            .filter(|member| member.missing_since.is_some())
-            .map(|member| member.entry.name.clone())
+            .filter(|state| state.missing_since.is_some())
+            .map(|state| state.entry.name.clone())
             .collect();
         for name in &gone {
-            self.drop_member(name);
+            self.remove_target(name);
         }
-        gone.into_iter().map(|name| (name, Belief::Gone)).collect()
+        gone.into_iter()
+            .map(|name| (name, TargetChange::Gone))
+            .collect()
     }
 
-    /// Adds work of this process.
-    pub fn begin(&mut self, now: Instant, name: &str, load: Load) {
-        if let Some(member) = self.members.get_mut(name) {
-            member.own.add(load);
-            member.has_more_to_read(now, load.reading_ms);
+    /// Adds work that this process sends.
+    pub fn add_load(&mut self, now: Instant, name: &str, load: Load) {
+        if let Some(state) = self.targets.get_mut(name) {
+            state.own_load.add(load);
+            state.extend_prefill_queue(now, load.prefill_ms);
         }
     }
 
-    /// Takes away work of this process that `begin` added to the same run of the target.
-    pub fn end(&mut self, now: Instant, name: &str, key: TargetKey, load: Load) {
-        if let Some(member) = self.members.get_mut(name)
-            && member.key == key
+    /// Removes work that `add_load` added, unless the target has restarted since.
+    pub fn remove_load(&mut self, now: Instant, name: &str, key: TargetKey, load: Load) {
+        if let Some(state) = self.targets.get_mut(name)
+            && state.key == key
         {
-            member.own.subtract(load);
-            if load.reading_ms > 0.0 {
-                member.has_less_to_read(now);
+            state.own_load.subtract(load);
+            if load.prefill_ms > 0.0 {
+                state.shorten_prefill_queue(now);
             }
         }
     }
 
-    /// Notes that a target reads a prompt, of which `tokens` are new to it.
-    pub fn reads(&mut self, name: &str, hashes: &[PrefixHash], tokens: u64) {
-        if let Some(member) = self.members.get(name) {
-            self.hints.reads(member.holder, hashes, tokens);
+    /// Records in the prefix index that a target processes a prompt with `tokens` uncached tokens.
+    pub fn record_prefill(&mut self, name: &str, hashes: &[PrefixHash], tokens: u64) {
+        if let Some(state) = self.targets.get(name) {
+            self.prefix_index
+                .record_prefill(state.instance, hashes, tokens);
         }
     }
 
-    /// Notes that a reading of `nominal_ms` was done `took_ms` after its call, behind `waiting_ms`
-    /// of others.
-    pub fn has_read(&mut self, name: &str, nominal_ms: f64, waiting_ms: f64, took_ms: f64) {
-        // A wait behind others says more of their sizes than of the speed.
+    /// Records the duration of a prefill of `nominal_ms` that ended `took_ms` after its call, with
+    /// an expected wait of `waiting_ms` behind other prefills.
+    pub fn record_prefill_time(
+        &mut self,
+        name: &str,
+        nominal_ms: f64,
+        waiting_ms: f64,
+        took_ms: f64,
+    ) {
+        // After a long wait, `took_ms` depends more on the other prefills than on this one.
         if waiting_ms >= nominal_ms {
             return;
         }
-        if let Some(member) = self.members.get_mut(name) {
+        if let Some(state) = self.targets.get_mut(name) {
             let own_ms = took_ms - waiting_ms - FIRST_EVENT_MS;
-            member.pace.has_read(nominal_ms, own_ms);
+            state.prefill_speed.record(nominal_ms, own_ms);
         }
     }
 
-    /// Notes that a call to a target went well.
-    pub fn succeeded(&mut self, name: &str) {
-        if let Some(member) = self.members.get_mut(name) {
-            member.ejection.succeeded();
-            member.unreachable_until = None;
-            member.failures *= 1.0 - FAILURE_WEIGHT;
+    /// Records a successful call.
+    pub fn record_success(&mut self, name: &str) {
+        if let Some(state) = self.targets.get_mut(name) {
+            state.ejection.succeeded();
+            state.unreachable_until = None;
+            state.failures *= 1.0 - FAILURE_WEIGHT;
         }
     }
 
-    /// Notes that a call to a target failed through the target.
-    pub fn failed(&mut self, now: Instant, name: &str) -> Option<Belief> {
-        let member = self.members.get_mut(name)?;
-        member.failures += FAILURE_WEIGHT * (1.0 - member.failures);
-        if member.ejection.failed() {
+    /// Records a call that failed through the target's fault. Returns what changed.
+    pub fn record_failure(&mut self, now: Instant, name: &str) -> Option<TargetChange> {
+        let state = self.targets.get_mut(name)?;
+        state.failures += FAILURE_WEIGHT * (1.0 - state.failures);
+        if state.ejection.failed() {
             let (first, longest) = EJECTION_MS;
-            member.ejection.eject_within(now, first, longest);
-            return Some(Belief::Ejected);
+            state.ejection.eject_within(now, first, longest);
+            return Some(TargetChange::Ejected);
         }
         None
     }
 
-    /// Notes that a target could not be connected to.
-    pub fn unreachable(&mut self, now: Instant, name: &str) {
-        if let Some(member) = self.members.get_mut(name) {
-            member.unreachable_until = Some(now + UNREACHABLE_MS);
+    /// Records that no connection to the target could be opened.
+    pub fn record_unreachable(&mut self, now: Instant, name: &str) {
+        if let Some(state) = self.targets.get_mut(name) {
+            state.unreachable_until = Some(now + UNREACHABLE_BACKOFF_MS);
         }
     }
 
-    /// Replaces what a peer reported before.
-    pub fn peer_reported(&mut self, now: Instant, host: &HostName, loads: Vec<PeerLoad>) {
+    /// Replaces the load that a peer reported before.
+    pub fn replace_peer_load(&mut self, now: Instant, host: &HostName, loads: Vec<PeerLoad>) {
         let loads: HashMap<_, _> = loads.into_iter().map(|r| (r.key, r.load)).collect();
         let before = self.peers.remove(host);
-        for member in self.members.values_mut() {
-            let known_ms = member.others.reading_ms;
-            if let Some(load) = before.as_ref().and_then(|b| b.loads.get(&member.key)) {
-                member.others.subtract(*load);
+        for state in self.targets.values_mut() {
+            let before_ms = state.peer_load.prefill_ms;
+            if let Some(load) = before.as_ref().and_then(|b| b.loads.get(&state.key)) {
+                state.peer_load.subtract(*load);
             }
-            if let Some(load) = loads.get(&member.key) {
-                member.others.add(*load);
+            if let Some(load) = loads.get(&state.key) {
+                state.peer_load.add(*load);
             }
-            let more_ms = member.others.reading_ms - known_ms;
-            if more_ms > 0.0 {
-                member.has_more_to_read(now, more_ms);
-            } else if more_ms < 0.0 {
-                member.has_less_to_read(now);
+            let change_ms = state.peer_load.prefill_ms - before_ms;
+            if change_ms > 0.0 {
+                state.extend_prefill_queue(now, change_ms);
+            } else if change_ms < 0.0 {
+                state.shorten_prefill_queue(now);
             }
         }
-        self.peers.insert(host.clone(), Peer { heard: now, loads });
-    }
-
-    /// Notes that a peer's call makes a target read a prompt.
-    pub fn peer_reads(&mut self, key: TargetKey, hashes: &[PrefixHash], tokens: u64) {
-        let holder = self.by_key(key).map(|member| member.holder);
-        if let Some(holder) = holder {
-            self.hints.reads(holder, hashes, tokens);
+        self.peers.insert(
+            host.clone(),
+            Peer {
+                last_seen: now,
+                loads,
+            },
+        );
+    }
+
+    /// Records a prefill that a peer started.
+    pub fn record_peer_prefill(&mut self, key: TargetKey, hashes: &[PrefixHash], tokens: u64) {
+        let instance = self.target_by_key(key).map(|state| state.instance);
+        if let Some(instance) = instance {
+            self.prefix_index.record_prefill(instance, hashes, tokens);
         }
     }
 
-    /// Peers that were heard of lately.
+    /// Number of peers that have not timed out.
     #[must_use]
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether a process on `host` is among those that watch the platform for all: the first ones by
-    /// name of those that were heard of lately.
+    /// Whether the process on `host` polls the platform often: the first processes by host name do,
+    /// of those that have not timed out.
     #[must_use]
-    pub fn keeps_watch(&self, host: &HostName) -> bool {
-        self.peers.keys().filter(|peer| *peer < host).count() < WATCHES
+    pub fn is_polling_process(&self, host: &HostName) -> bool {
+        self.peers.keys().filter(|peer| *peer < host).count() < POLLING_PROCESSES
     }
 
-    /// Work of this process, by target.
+    /// Unfinished work of this process, by target.
     #[must_use]
     pub fn own_loads(&self) -> Vec<PeerLoad> {
-        let busy = self.members.values().filter(|member| member.own.runs > 0.0);
-        busy.map(|member| PeerLoad {
-            key: member.key,
-            load: member.own,
-        })
-        .collect()
+        let loaded = self
+            .targets
+            .values()
+            .filter(|state| state.own_load.runs > 0.0);
+        loaded
+            .map(|state| PeerLoad {
+                key: state.key,
+                load: state.own_load,
+            })
+            .collect()
     }
 
-    fn is_after_outage(&self, now: Instant) -> bool {
+    fn is_in_grace_period(&self, now: Instant) -> bool {
         match self.store {
-            StoreState::Steady => false,
-            StoreState::Away => true,
-            StoreState::BackSince(since) => now.saturating_duration_since(since) <= RETURN_MS,
+            StoreState::Available => false,
+            StoreState::Unavailable => true,
+            StoreState::RecoveredAt(at) => now.saturating_duration_since(at) <= STORE_RECOVERY_MS,
         }
     }
 
-    fn drop_member(&mut self, name: &str) {
-        if let Some(member) = self.members.remove(name) {
-            self.hints.forget(member.holder);
+    fn remove_target(&mut self, name: &str) {
+        if let Some(state) = self.targets.remove(name) {
+            self.prefix_index.remove_instance(state.instance);
         }
     }
 
-    fn forget_peer(&mut self, host: &HostName) {
+    fn remove_peer(&mut self, host: &HostName) {
         let Some(peer) = self.peers.remove(host) else {
             return;
         };
-        for member in self.members.values_mut() {
-            if let Some(load) = peer.loads.get(&member.key) {
-                member.others.subtract(*load);
+        for state in self.targets.values_mut() {
+            if let Some(load) = peer.loads.get(&state.key) {
+                state.peer_load.subtract(*load);
             }
         }
     }
 
-    fn by_key(&mut self, key: TargetKey) -> Option<&mut Member> {
-        self.members.values_mut().find(|member| member.key == key)
+    fn target_by_key(&mut self, key: TargetKey) -> Option<&mut TargetState> {
+        self.targets.values_mut().find(|state| state.key == key)
     }
 }
 
--- a/components/gateway/src/history.rs
+++ b/components/gateway/src/history.rs
@@ -1,23 +1,23 @@
-//! History of one request, from the log lines of all processes.
+//! History of one request, from the log lines of all gateway processes.
 //!
-//! Beside the request's own lines it has what its processes and its targets went through shortly
-//! before and meanwhile, and says which lines are missing.
+//! It holds the request's own lines, the lines about its processes and targets from shortly before
+//! and during the request, and a note on each expected line that is missing.
 
 use std::collections::BTreeSet;
 
 use serde_json::Map;
 use serde_json::Value;
 
-/// Time before the first line in which changes of belief may have decided the request.
-const BEFORE_S: f64 = 10.0;
-/// Seconds of a day, after which the times of log lines begin anew.
+/// Time before the first line in which changes of a target's state are included.
+const LOOKBACK_S: f64 = 10.0;
+/// Seconds of a day; times of log lines are compared modulo a day.
 const DAY_S: f64 = 86_400.0;
-/// Codes of lines about the store, and about lines that were left out.
-const HOST_CODES: [&str; 3] = ["CS5010", "CS5105", "CS5106"];
-/// Code of changes of belief about a target.
-const BELIEF_CODE: &str = "CS5103";
-/// Fields that each line has; the rest is what it says.
-const FRAME: [&str; 6] = ["ts", "host", "level", "code", "msg", "request"];
+/// Codes of lines about the store and about dropped lines.
+const STORE_AND_LOG_CODES: [&str; 3] = ["CS5010", "CS5105", "CS5106"];
+/// Code of changes of a target's state.
+const TARGET_CHANGE_CODE: &str = "CS5103";
+/// Fields that are not listed among a line's details.
+const COMMON_FIELDS: [&str; 6] = ["ts", "host", "level", "code", "msg", "request"];
 
 struct Line {
     at_s: f64,
@@ -25,7 +25,7 @@
 }
 
 impl Line {
-    /// Parses a line; what is before the first brace was added by whoever collected it.
+    /// Parses a line; text before the first brace is a prefix that a log collector added.
     fn parse(text: &str) -> Option<Self> {
         let object = &text[text.find('{')?..];
         let fields: Map<String, Value> = serde_json::from_str(object).ok()?;
@@ -33,20 +33,22 @@
         Some(Self { at_s, fields })
     }
 
-    fn text(&self, name: &str) -> &str {
+    fn field(&self, name: &str) -> &str {
         let value = self.fields.get(name).and_then(Value::as_str);
         value.unwrap_or_default()
     }
 
-    fn show(&self) -> String {
-        let said = self.fields.iter().filter(|(name, value)| {
-            !FRAME.contains(&name.as_str()) && !value.is_null() && value.as_str() != Some("")
+    fn to_text(&self) -> String {
+        let details = self.fields.iter().filter(|(name, value)| {
+            !COMMON_FIELDS.contains(&name.as_str())
+                && !value.is_null()
+                && value.as_str() != Some("")
         });
-        let said: Vec<_> = said
+        let details: Vec<_> = details
             .map(|(name, value)| format!("{name} {value}"))
             .collect();
-        let (ts, host) = (self.text("ts"), self.text("host"));
-        format!("{ts} {host}: {}; {}", self.text("msg"), said.join(", "))
+        let (ts, host) = (self.field("ts"), self.field("host"));
+        format!("{ts} {host}: {}; {}", self.field("msg"), details.join(", "))
     }
 }
 
@@ -58,45 +60,47 @@
     Some(part()? * 3_600.0 + part()? * 60.0 + part()?)
 }
 
-/// What is known of a request, in the order of time; empty if no line names it.
+/// Lines about a request in order of time; empty if no line has its id.
 #[must_use]
 pub fn history<'a>(log: impl IntoIterator<Item = &'a str>, request: &str) -> Vec<String> {
     let lines: Vec<Line> = log.into_iter().filter_map(Line::parse).collect();
-    let own = |line: &&Line| line.text("request") == request;
-    let Some(first_s) = lines.iter().find(own).map(|line| line.at_s) else {
+    let is_own = |line: &&Line| line.field("request") == request;
+    let Some(first_s) = lines.iter().find(is_own).map(|line| line.at_s) else {
         return Vec::new();
     };
-    let since_s = |line: &Line| (line.at_s - first_s + BEFORE_S).rem_euclid(DAY_S);
-    let last_s = lines.iter().filter(own).map(since_s).fold(0.0, f64::max);
-    let named = |name: &str| -> BTreeSet<&str> {
-        let values = lines.iter().filter(own).map(|line| line.text(name));
+    let since_s = |line: &Line| (line.at_s - first_s + LOOKBACK_S).rem_euclid(DAY_S);
+    let last_s = lines.iter().filter(is_own).map(since_s).fold(0.0, f64::max);
+    let values_of = |name: &str| -> BTreeSet<&str> {
+        let values = lines.iter().filter(is_own).map(|line| line.field(name));
         values.filter(|value| !value.is_empty()).collect()
     };
-    let (hosts, targets) = (named("host"), named("target"));
-    let mut told: Vec<&Line> = lines
+    let (hosts, targets) = (values_of("host"), values_of("target"));
+    let mut selected: Vec<&Line> = lines
         .iter()
         .filter(|line| {
-            let code = line.text("code");
-            let is_at_host = hosts.contains(line.text("host"));
-            let is_about_host = HOST_CODES.contains(&code);
-            let is_about_target = code == BELIEF_CODE && targets.contains(line.text("target"));
+            let code = line.field("code");
+            let is_at_host = hosts.contains(line.field("host"));
+            let is_about_host = STORE_AND_LOG_CODES.contains(&code);
+            let is_about_target =
+                code == TARGET_CHANGE_CODE && targets.contains(line.field("target"));
             let is_related = is_at_host && (is_about_host || is_about_target);
-            own(line) || (is_related && since_s(line) <= last_s)
+            is_own(line) || (is_related && since_s(line) <= last_s)
         })
         .collect();
-    told.sort_by(|a, b| since_s(a).total_cmp(&since_s(b)));
+    selected.sort_by(|a, b| since_s(a).total_cmp(&since_s(b)));
     let count = |code: &str| {
-        let found = lines.iter().filter(own);
-        found.filter(|line| line.text("code") == code).count()
+        let own = lines.iter().filter(is_own);
+        own.filter(|line| line.field("code") == code).count()
     };
-    let mut shown: Vec<String> = told.iter().map(|line| line.show()).collect();
+    let mut text: Vec<String> = selected.iter().map(|line| line.to_text()).collect();
     if count("CS5201") == 0 && count("CS5202") > 0 {
-        shown.push("missing: the line that it was routed (CS5201)".to_owned());
+        text.push("missing: `request routed` (CS5201)".to_owned());
     }
     if count("CS5204") == 0 {
-        shown.push(
-            "missing: its end (CS5204); the process was killed, or the log ends before".to_owned(),
+        text.push(
+            "missing: `request ended` (CS5204); the process was killed, or the log ends earlier"
+                .to_owned(),
         );
     }
-    shown
+    text
 }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! Gateway: serves callers by calling targets directly.
+//! Gateway: a reverse proxy that routes callers' requests directly to targets.
 //!
-//! Modules by life span: a *request* lives in [`core`], with [`routes`], [`admission`] and
-//! [`placement`] deciding on it; a *process* has [`fleet`], [`prefixes`] and [`repeats`]. The
-//! daemon in [`daemon`] does all I/O on one thread. What the platform and targets speak is behind
-//! the traits in [`deployment`] and [`protocol`].
+//! [`core`] holds the state of each request and decides with [`routes`], [`admission`] and
+//! [`placement`]. State that outlives a request is in [`fleet`], [`prefixes`] and [`repeats`]. The
+//! daemon in [`daemon`] does all I/O on one thread. The protocols of the platform and of the
+//! targets are behind the traits in [`deployment`] and [`protocol`].
 
 pub mod admission;
 pub mod core;
@@ -13,7 +13,7 @@
 pub mod fleet;
 pub mod history;
 pub mod log;
-pub mod note;
+pub mod log_event;
 pub mod placement;
 pub mod prefixes;
 pub mod protocol;
--- a/components/gateway/src/log.rs
+++ b/components/gateway/src/log.rs
@@ -1,7 +1,7 @@
 //! Structured log lines on standard output.
 //!
-//! Lines wait in a buffer of fixed size until standard output takes them, so that a reader that
-//! stalls costs no request. A line that does not fit is counted and left out; the next line that
+//! Lines are held in a bounded buffer until standard output accepts them, so that a stalled reader
+//! does not block requests. A line that does not fit is dropped and counted; the next line that
 //! fits is preceded by the count.
 
 use std::collections::VecDeque;
@@ -22,24 +22,24 @@
 use slog::warn;
 use smol::Timer;
 
-use crate::note::Note;
+use crate::log_event::LogEvent;
 
-/// Bytes of lines that wait for standard output.
+/// Capacity of the buffer.
 const BUFFER_BYTES: usize = 256 << 10;
-/// Bytes that only lines about ended requests and lost dependencies may fill.
+/// Part of the buffer reserved for important lines: all but those of a request in flight.
 const RESERVED_BYTES: usize = 64 << 10;
-/// Time between two writes to standard output.
-const FLUSH_MS: Duration = Duration::from_millis(100);
-/// Longest text of one value; ids come from callers.
+/// Interval of writes to standard output.
+const FLUSH_INTERVAL_MS: Duration = Duration::from_millis(100);
+/// Longest text of one value. Request ids come from callers and have no bound of their own.
 const VALUE_LIMIT_BYTES: usize = 200;
 
 #[derive(Debug, Default)]
 struct Buffer {
     bytes: VecDeque<u8>,
-    left_out: u64,
+    dropped: u64,
 }
 
-/// Lines that wait.
+/// Buffer of lines that are not written yet.
 #[derive(Debug, Clone, Default)]
 pub struct LogBuffer(Arc<Mutex<Buffer>>);
 
@@ -48,7 +48,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a line of this importance may be added; counts it as left out otherwise.
+    /// Whether a line of this importance may be added; counts it as dropped otherwise.
     fn has_room(&self, is_important: bool) -> bool {
         let mut buffer = self.lock();
         let limit = if is_important {
@@ -58,16 +58,16 @@
         };
         let has_room = buffer.bytes.len() < limit;
         if !has_room {
-            buffer.left_out += 1;
+            buffer.dropped += 1;
         }
         has_room
     }
 
-    fn take_left_out(&self) -> u64 {
-        std::mem::take(&mut self.lock().left_out)
+    fn take_dropped(&self) -> u64 {
+        std::mem::take(&mut self.lock().dropped)
     }
 
-    /// Writes what standard output takes without waiting.
+    /// Writes as much as standard output accepts without blocking.
     fn flush_to(&self, out: &mut impl Write) {
         let mut buffer = self.lock();
         while !buffer.bytes.is_empty() {
@@ -75,16 +75,16 @@
             match out.write(first) {
                 Ok(count) if count > 0 => drop(buffer.bytes.drain(..count)),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // A full or closed pipe; lines that do not fit meanwhile are counted.
+                // The pipe is full or closed; lines that do not fit meanwhile are dropped.
                 _ => return,
             }
         }
     }
 }
 
-struct Lines(LogBuffer);
+struct BufferWriter(LogBuffer);
 
-impl Write for Lines {
+impl Write for BufferWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().bytes.extend(bytes);
         Ok(bytes.len())
@@ -103,11 +103,11 @@
 }
 
 impl Log {
-    /// A log whose lines name the host.
+    /// Creates a log whose lines carry the host name.
     #[must_use]
     pub fn new(host: &str) -> Self {
         let buffer = LogBuffer::default();
-        let drain = slog_json::Json::new(Lines(buffer.clone()))
+        let drain = slog_json::Json::new(BufferWriter(buffer.clone()))
             .add_default_keys()
             .build();
         let logger = Logger::root(Mutex::new(drain).fuse(), o!("host" => host.to_owned()));
@@ -117,41 +117,42 @@
     /// Writes lines to standard output until the process ends.
     pub async fn run(self) {
         let stdout = io::stdout();
-        // Other flags, such as that of a file that is appended to, stay.
+        // Keeps the other flags, such as `O_APPEND`.
         let flags = rustix::fs::fcntl_getfl(&stdout);
-        let set = flags.and_then(|f| rustix::fs::fcntl_setfl(&stdout, f | OFlags::NONBLOCK));
+        let set =
+            flags.and_then(|flags| rustix::fs::fcntl_setfl(&stdout, flags | OFlags::NONBLOCK));
         if let Err(cause) = set {
             warn!(self.logger, "standard output may block"; "code" => "CS5009",
                 "detail" => cause.to_string());
         }
         loop {
             self.flush();
-            Timer::after(FLUSH_MS).await;
+            Timer::after(FLUSH_INTERVAL_MS).await;
         }
     }
 
-    /// Writes what standard output takes now.
+    /// Writes as much as standard output accepts now.
     pub fn flush(&self) {
         let mut stdout = rustix::stdio::stdout();
-        self.buffer.flush_to(&mut Descriptor(&mut stdout));
+        self.buffer.flush_to(&mut FdWriter(&mut stdout));
     }
 
-    /// Adds one line.
-    pub fn write(&self, note: &Note) {
-        if !self.buffer.has_room(is_important(note)) {
+    /// Adds the line of one event, or drops it if the buffer is full.
+    pub fn write(&self, event: &LogEvent) {
+        if !self.buffer.has_room(is_important(event)) {
             return;
         }
-        let left_out = self.buffer.take_left_out();
-        if left_out > 0 {
-            warn!(self.logger, "log lines left out"; "code" => "CS5010", "count" => left_out);
+        let dropped = self.buffer.take_dropped();
+        if dropped > 0 {
+            warn!(self.logger, "log lines left out"; "code" => "CS5010", "count" => dropped);
         }
-        write(&self.logger, note);
+        write(&self.logger, event);
     }
 }
 
-struct Descriptor<'a>(&'a mut rustix::fd::BorrowedFd<'static>);
+struct FdWriter<'a>(&'a mut rustix::fd::BorrowedFd<'static>);
 
-impl Write for Descriptor<'_> {
+impl Write for FdWriter<'_> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         Ok(rustix::io::write(*self.0, bytes)?)
     }
@@ -161,15 +162,15 @@
     }
 }
 
-fn is_important(note: &Note) -> bool {
+fn is_important(event: &LogEvent) -> bool {
     !matches!(
-        note,
-        Note::Accepted { .. } | Note::Sent { .. } | Note::CallEnded { .. }
+        event,
+        LogEvent::RequestRouted { .. } | LogEvent::TargetCalled { .. } | LogEvent::CallEnded { .. }
     )
 }
 
-/// A value from outside, cut to a bounded length. The encoder escapes control characters.
-fn cut(text: &str) -> &str {
+/// An external value, truncated to a bounded length. The encoder escapes control characters.
+fn truncated(text: &str) -> &str {
     let mut end = text.len().min(VALUE_LIMIT_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
@@ -177,41 +178,41 @@
     &text[..end]
 }
 
-#[allow(clippy::too_many_lines)] // one arm an event
-fn write(logger: &Logger, note: &Note) {
-    match note {
-        Note::Started { incarnation } => info!(logger, "gateway started";
+#[allow(clippy::too_many_lines)] // one arm for each event
+fn write(logger: &Logger, event: &LogEvent) {
+    match event {
+        LogEvent::Started { incarnation } => info!(logger, "gateway started";
             "code" => "CS5001", "incarnation" => format!("{incarnation:016x}")),
-        Note::Stopping { in_flight } => info!(logger, "stop requested";
+        LogEvent::Stopping { in_flight } => info!(logger, "stop requested";
             "code" => "CS5002", "in_flight" => in_flight),
-        Note::Stopped { in_flight } => info!(logger, "gateway stopped";
+        LogEvent::Stopped { in_flight } => info!(logger, "gateway stopped";
             "code" => "CS5003", "in_flight" => in_flight),
-        Note::SettingsReloaded { error: None } => {
+        LogEvent::SettingsReload { error: None } => {
             info!(logger, "settings reloaded"; "code" => "CS5004");
         }
-        Note::SettingsReloaded { error: Some(cause) } => error!(logger, "settings not reloaded";
+        LogEvent::SettingsReload { error: Some(cause) } => error!(logger, "settings not reloaded";
             "code" => "CS5004", "detail" => cause),
-        Note::ConfigurationApplied {
+        LogEvent::ConfigurationApplied {
             version,
             before,
             routes,
         } => info!(logger, "configuration applied";
             "code" => "CS5101", "version" => version, "before" => before, "routes" => routes),
-        Note::ConfigurationIgnored { version, in_force } => {
+        LogEvent::ConfigurationIgnored { version, in_force } => {
             warn!(logger, "older configuration ignored";
                 "code" => "CS5102", "version" => version, "in_force" => in_force);
         }
-        Note::Target { target, belief } => info!(logger, "belief about a target changed";
-            "code" => "CS5103", "target" => cut(target),
-            "belief" => format!("{belief:?}").to_lowercase()),
-        Note::Unreadable { row, detail } => warn!(logger, "row of the store ignored";
-            "code" => "CS5104", "row" => cut(row), "detail" => cut(detail)),
-        Note::StoreLost { detail } => warn!(logger, "store lost";
-            "code" => "CS5105", "detail" => cut(detail)),
-        Note::StoreBack => info!(logger, "store regained"; "code" => "CS5106"),
-        Note::PeerIgnored { detail } => warn!(logger, "message of a peer ignored";
-            "code" => "CS5107", "detail" => cut(detail)),
-        Note::Accepted {
+        LogEvent::TargetChange { target, change } => info!(logger, "belief about a target changed";
+            "code" => "CS5103", "target" => truncated(target),
+            "belief" => format!("{change:?}").to_lowercase()),
+        LogEvent::RowIgnored { row, detail } => warn!(logger, "row of the store ignored";
+            "code" => "CS5104", "row" => truncated(row), "detail" => truncated(detail)),
+        LogEvent::StoreUnavailable { detail } => warn!(logger, "store lost";
+            "code" => "CS5105", "detail" => truncated(detail)),
+        LogEvent::StoreAvailable => info!(logger, "store regained"; "code" => "CS5106"),
+        LogEvent::PeerMessageIgnored { detail } => warn!(logger, "message of a peer ignored";
+            "code" => "CS5107", "detail" => truncated(detail)),
+        LogEvent::RequestRouted {
             request,
             route,
             service,
@@ -220,10 +221,10 @@
             prompt_tokens,
             output_tokens,
         } => info!(logger, "request routed";
-            "code" => "CS5201", "request" => cut(request), "route" => cut(route),
-            "service" => cut(service), "version" => version, "left_ms" => left_ms,
+            "code" => "CS5201", "request" => truncated(request), "route" => truncated(route),
+            "service" => truncated(service), "version" => version, "left_ms" => left_ms,
             "prompt_tokens" => prompt_tokens, "output_tokens" => output_tokens),
-        Note::Sent {
+        LogEvent::TargetCalled {
             request,
             target,
             step,
@@ -233,18 +234,18 @@
             running,
             new_tokens,
         } => info!(logger, "target called";
-            "code" => "CS5202", "request" => cut(request), "target" => cut(target),
+            "code" => "CS5202", "request" => truncated(request), "target" => truncated(target),
             "step" => step, "call" => call, "expected_ms" => expected_ms,
             "waiting_ms" => waiting_ms, "running" => running, "new_tokens" => new_tokens),
-        Note::CallEnded {
+        LogEvent::CallEnded {
             request,
             target,
             outcome,
             took_ms,
         } => info!(logger, "call ended";
-            "code" => "CS5203", "request" => cut(request), "target" => cut(target),
-            "outcome" => cut(outcome), "took_ms" => took_ms),
-        Note::Ended {
+            "code" => "CS5203", "request" => truncated(request), "target" => truncated(target),
+            "outcome" => truncated(outcome), "took_ms" => took_ms),
+        LogEvent::RequestEnded {
             request,
             route,
             outcome,
@@ -255,8 +256,8 @@
             calls,
             retry_after_ms,
         } => info!(logger, "request ended";
-            "code" => "CS5204", "request" => cut(request), "route" => cut(route),
-            "outcome" => outcome, "detail" => cut(detail), "status" => status,
+            "code" => "CS5204", "request" => truncated(request), "route" => truncated(route),
+            "outcome" => outcome, "detail" => truncated(detail), "status" => status,
             "first_ms" => first_ms, "took_ms" => took_ms, "calls" => calls,
             "retry_after_ms" => retry_after_ms),
     }
--- a/components/gateway/src/placement.rs
+++ b/components/gateway/src/placement.rs
@@ -1,9 +1,10 @@
-//! Where a request goes.
+//! Placement: which target a call goes to.
 //!
-//! Load pattern: long prompts that share their beginnings, more of them than the engines in the
-//! prefill role can read twice, in waves that differ from one engine to the other. A prompt goes
-//! to the engine that will have read it first, counting what it has read already, what waits there
-//! from all processes, and the engine time that the choice takes from later requests.
+//! The load it is made for: long prompts with shared prefixes, too many for the prefill engines to
+//! process twice, in bursts that load the engines unevenly. A prompt goes to the engine with the
+//! lowest score, which estimates the time to the first event from the engine's cached prefixes and
+//! from the prefills that all gateway processes have queued there, and adds the engine time that
+//! later requests lose to this one.
 
 use std::time::Instant;
 
@@ -13,210 +14,211 @@
 use types::TargetName;
 
 use crate::deployment::EngineFacts;
-use crate::fleet::Member;
+use crate::fleet::TargetState;
 use crate::prefixes::PrefixHash;
-use crate::prefixes::PrefixHints;
+use crate::prefixes::PrefixIndex;
 use crate::protocol::ModelWork;
 use crate::speed;
-use crate::speed::Reading;
+use crate::speed::PrefillWork;
 
-/// Weight of the engine time that a choice takes, beside its own time to the first event: later
-/// requests wait for it too.
+/// Weight of the prefill's engine time in the score, in addition to its share of the time to the
+/// first event: later requests wait for it too.
 const WORK_WEIGHT: f64 = 2.0;
-/// Time that a transfer between two engines adds beside its bytes.
+/// Fixed cost of a KV cache transfer between two engines.
 const TRANSFER_SETUP_MS: f64 = 6.0;
-/// Factor on transfers between data centres; the same as the engines' links have.
+/// Factor on the time of a transfer between data centres, as on the engines' links.
 const REMOTE_TRANSFER_FACTOR: f64 = 2.0;
-/// Streams of an engine that decodes, for the duration of an answer.
+/// Running streams of a decode engine that are assumed when the duration of an answer is estimated.
 const TYPICAL_STREAMS: f64 = 12.0;
-/// Most that the spreading of beginnings over equal targets adds. It is less than any reading of a
-/// shared beginning takes.
-const SPREAD_MS: f64 = 60.0;
-/// Engine time of a run on a plain service, to compare loads with failures.
+/// Largest tie-break between equal targets, which spreads the prefixes over them. It is less than
+/// the prefill of any shared prefix takes, so it never causes one to be repeated.
+const TIE_BREAK_MS: f64 = 60.0;
+/// Assumed duration of a run on a plain service, which converts load into time for the score.
 const PLAIN_RUN_MS: f64 = 15.0;
-/// Time that a target in another data centre adds to a call of a plain service.
+/// Time added to the score of a plain service's target in another data centre.
 const REMOTE_CALL_MS: f64 = 3.0;
-/// Time that a target which fails all its calls is taken to add.
-const FAILURE_MS: f64 = 400.0;
+/// Time added to the score of a target whose calls all fail; scaled by its failure rate.
+const FAILURE_PENALTY_MS: f64 = 400.0;
 
-/// Where a model request goes first.
+/// Engine chosen for a model request, with the expected times.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Choice {
-    /// Target.
+pub struct Placement {
+    /// Engine that gets the call.
     pub target: TargetName,
-    /// Its part of the work: prefill for a transfer to another engine, or the whole request.
+    /// Role of the engine: `Prefill` hands the KV cache to another engine, others run the request.
     pub role: Role,
     /// Expected time from now to the first event.
     pub first_event_ms: f64,
-    /// Part of it that is spent behind other readings.
+    /// Part of `first_event_ms` spent in the queue behind other prefills.
     pub wait_ms: f64,
     /// Expected time from the first to the last event.
     pub events_ms: f64,
-    /// Engine time of the reading at nominal speed.
-    pub reading_ms: f64,
-    /// Tokens that the target has to read.
+    /// Duration of the prefill at nominal speed.
+    pub prefill_ms: f64,
+    /// Prompt tokens that are not in the engine's prefix cache.
     pub new_tokens: u64,
 }
 
-/// What a model request needs.
+/// A model request to be placed.
 #[derive(Debug, Clone)]
-pub struct Need<'a> {
-    /// Prompt and answer.
+pub struct PlacementRequest<'a> {
+    /// Sizes of the prompt and the answer.
     pub work: &'a ModelWork,
-    /// Hashes of the shared parts.
+    /// Prefix hashes of the shared parts of the prompt.
     pub hashes: &'a [PrefixHash],
-    /// Targets that refused it already.
-    pub refused_by: &'a [TargetName],
+    /// Targets that have refused or failed a call of this request.
+    pub tried_targets: &'a [TargetName],
 }
 
-/// Chooses where a request is read: the earliest first event for the least engine time.
+/// Chooses the engine for the prefill: the best trade-off of time to first event and engine time.
 #[must_use]
-pub fn choose_reader(
-    members: &[&Member],
-    hints: &PrefixHints,
+pub fn choose_first_engine(
+    targets: &[&TargetState],
+    prefix_index: &PrefixIndex,
     facts: &EngineFacts,
-    need: &Need<'_>,
+    request: &PlacementRequest<'_>,
     now: Instant,
-) -> Option<Choice> {
-    let has_decoder = members
+) -> Option<Placement> {
+    let has_decode_engine = targets
         .iter()
-        .any(|member| member.entry.role != Role::Prefill);
-    let candidates = members.iter().filter(|member| {
-        !need.refused_by.contains(&member.entry.name)
-            && (member.entry.role != Role::Prefill || has_decoder)
+        .any(|state| state.entry.role != Role::Prefill);
+    let candidates = targets.iter().filter(|state| {
+        !request.tried_targets.contains(&state.entry.name)
+            && (state.entry.role != Role::Prefill || has_decode_engine)
     });
-    let choices = candidates.map(|member| rate(member, hints, facts, need, now));
-    let best = choices.min_by(|(a, _), (b, _)| a.total_cmp(b));
-    best.map(|(_, choice)| choice)
+    let placements = candidates.map(|state| score(state, prefix_index, facts, request, now));
+    let best = placements.min_by(|(a, _), (b, _)| a.total_cmp(b));
+    best.map(|(_, placement)| placement)
 }
 
 #[allow(clippy::cast_precision_loss)] // token counts are far below 2^52
-fn rate(
-    member: &Member,
-    hints: &PrefixHints,
+fn score(
+    state: &TargetState,
+    prefix_index: &PrefixIndex,
     facts: &EngineFacts,
-    need: &Need<'_>,
+    request: &PlacementRequest<'_>,
     now: Instant,
-) -> (f64, Choice) {
-    let prompt_tokens = f64::from(need.work.prompt_tokens);
-    let cached_tokens = cached_tokens(member, hints, facts, need).min(prompt_tokens - 1.0);
-    let reading = Reading {
+) -> (f64, Placement) {
+    let prompt_tokens = f64::from(request.work.prompt_tokens);
+    let cached_tokens = cached_tokens(state, prefix_index, facts, request).min(prompt_tokens - 1.0);
+    let work = PrefillWork {
         new_tokens: prompt_tokens - cached_tokens,
         prompt_tokens,
     };
-    let (wait_ms, runs) = (member.wait_ms(now), member.load().runs);
-    let is_prefill = member.entry.role == Role::Prefill;
-    let nominal_ms = reading.work_ms(member.entry.role, if is_prefill { 0.0 } else { runs });
-    let own_ms = nominal_ms * member.slowness();
+    let (wait_ms, runs) = (state.wait_ms(now), state.load().runs);
+    let is_prefill = state.entry.role == Role::Prefill;
+    let nominal_ms = work.duration_ms(state.entry.role, if is_prefill { 0.0 } else { runs });
+    let own_ms = nominal_ms * state.slowdown();
     let transfer_ms = if is_prefill {
         TRANSFER_SETUP_MS + transfer_ms(facts, prompt_tokens)
     } else {
         0.0
     };
     let first_event_ms = wait_ms + own_ms + transfer_ms + speed::FIRST_EVENT_MS;
-    let rating = first_event_ms
+    let score_ms = first_event_ms
         + WORK_WEIGHT * own_ms
-        + FAILURE_MS * member.failures
-        + SPREAD_MS * spread(member, need);
+        + FAILURE_PENALTY_MS * state.failures
+        + TIE_BREAK_MS * tie_break(state, request);
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // positive and small
-    let choice = Choice {
-        target: member.entry.name.clone(),
-        role: member.entry.role,
+    let placement = Placement {
+        target: state.entry.name.clone(),
+        role: state.entry.role,
         first_event_ms,
         wait_ms,
-        events_ms: f64::from(need.work.output_tokens()) * speed::step_ms(TYPICAL_STREAMS),
-        reading_ms: nominal_ms,
-        new_tokens: reading.new_tokens as u64,
+        events_ms: f64::from(request.work.output_tokens()) * speed::step_ms(TYPICAL_STREAMS),
+        prefill_ms: nominal_ms,
+        new_tokens: work.new_tokens as u64,
     };
-    (rating, choice)
+    (score_ms, placement)
 }
 
-/// Number from 0 to 1 that is the same in all processes for one prompt's beginning and one target.
+/// Number from 0 to 1 that is the same in all processes for a prompt's prefix and a target.
 #[allow(clippy::cast_precision_loss)]
-fn spread(member: &Member, need: &Need<'_>) -> f64 {
-    let own_part = need.work.parts.last().map_or(0, |part| part.id);
-    let beginning = need.hashes.last().copied().unwrap_or(own_part);
-    let mixed = (beginning ^ member.key).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+fn tie_break(state: &TargetState, request: &PlacementRequest<'_>) -> f64 {
+    let own_part = request.work.parts.last().map_or(0, |part| part.id);
+    let prefix = request.hashes.last().copied().unwrap_or(own_part);
+    let mixed = (prefix ^ state.key).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     (mixed >> 11) as f64 / (1_u64 << 53) as f64
 }
 
 fn cached_tokens(
-    member: &Member,
-    hints: &PrefixHints,
+    state: &TargetState,
+    prefix_index: &PrefixIndex,
     facts: &EngineFacts,
-    need: &Need<'_>,
+    request: &PlacementRequest<'_>,
 ) -> f64 {
-    let matched = hints.matched(member.holder, need.hashes, facts.memory_tokens);
-    let parts = need.work.parts.iter().take(matched);
+    let matching_prefixes =
+        prefix_index.matching_prefixes(state.instance, request.hashes, facts.memory_tokens);
+    let parts = request.work.parts.iter().take(matching_prefixes);
     parts.map(|part| f64::from(part.tokens)).sum()
 }
 
-/// Time that the memory of so many tokens takes on a free link of one data centre.
+/// Time to transfer the KV cache of `tokens` over an idle link within a data centre.
 #[allow(clippy::cast_precision_loss)]
 fn transfer_ms(facts: &EngineFacts, tokens: f64) -> f64 {
     tokens * facts.token_bytes as f64 * 8.0 / facts.link_bits_per_s * 1e3
 }
 
-/// Chooses the engine that continues after a prefill elsewhere.
+/// Chooses the engine that decodes after a prefill on another engine.
 #[must_use]
-pub fn choose_decoder(
-    members: &[&Member],
-    hints: &PrefixHints,
+pub fn choose_decode_engine(
+    targets: &[&TargetState],
+    prefix_index: &PrefixIndex,
     facts: &EngineFacts,
-    need: &Need<'_>,
-    holder_place: &Place,
+    request: &PlacementRequest<'_>,
+    source_data_centre: &Place,
     now: Instant,
 ) -> Option<TargetName> {
-    let candidates = members.iter().filter(|member| {
-        member.entry.role != Role::Prefill && !need.refused_by.contains(&member.entry.name)
+    let candidates = targets.iter().filter(|state| {
+        state.entry.role != Role::Prefill && !request.tried_targets.contains(&state.entry.name)
     });
-    let prompt_tokens = f64::from(need.work.prompt_tokens);
-    let rated = candidates.map(|member| {
-        let (wait_ms, runs) = (member.wait_ms(now), member.load().runs);
-        let is_remote = member.entry.data_centre != *holder_place;
+    let prompt_tokens = f64::from(request.work.prompt_tokens);
+    let scored = candidates.map(|state| {
+        let (wait_ms, runs) = (state.wait_ms(now), state.load().runs);
+        let is_remote = state.entry.data_centre != *source_data_centre;
         let factor = if is_remote {
             REMOTE_TRANSFER_FACTOR
         } else {
             1.0
         };
-        let missing = prompt_tokens - cached_tokens(member, hints, facts, need);
-        let moved_ms = factor * transfer_ms(facts, missing.max(0.0));
-        // A stream gets its first event a few steps after its memory has arrived.
-        let start_ms = speed::step_ms(runs) * member.slowness() * 2.0 + wait_ms * 2.0;
+        let missing = prompt_tokens - cached_tokens(state, prefix_index, facts, request);
+        let transfer_ms = factor * transfer_ms(facts, missing.max(0.0));
+        // The first event follows a few steps after the KV cache has arrived.
+        let start_ms = speed::step_ms(runs) * state.slowdown() * 2.0 + wait_ms * 2.0;
         let full_ms = if runs >= f64::from(facts.slots) {
             1e4
         } else {
             0.0
         };
-        let rating = moved_ms + start_ms + FAILURE_MS * member.failures + full_ms;
-        (rating, member)
+        let score_ms = transfer_ms + start_ms + FAILURE_PENALTY_MS * state.failures + full_ms;
+        (score_ms, state)
     });
-    let best = rated.min_by(|(a, _), (b, _)| a.total_cmp(b));
-    best.map(|(_, member)| member.entry.name.clone())
+    let best = scored.min_by(|(a, _), (b, _)| a.total_cmp(b));
+    best.map(|(_, state)| state.entry.name.clone())
 }
 
-/// Chooses a target of a plain service: the least loaded one, near ones first.
+/// Chooses a target of a plain service by load, failures and data centre.
 #[must_use]
-pub fn choose_plain(
-    members: &[&Member],
-    own_place: &Place,
-    refused_by: &[TargetName],
+pub fn choose_plain_target(
+    targets: &[&TargetState],
+    own_data_centre: &Place,
+    tried_targets: &[TargetName],
     draw: u64,
 ) -> Option<TargetName> {
-    let candidates: SmallVec<[&&Member; 8]> = members
+    let candidates: SmallVec<[&&TargetState; 8]> = targets
         .iter()
-        .filter(|member| !refused_by.contains(&member.entry.name))
+        .filter(|state| !tried_targets.contains(&state.entry.name))
         .collect();
-    let rated = candidates.iter().enumerate().map(|(at, member)| {
-        let slots = f64::from(member.entry.slots.max(1));
-        let wait_ms = member.load().runs / slots * PLAIN_RUN_MS;
-        let is_remote = member.entry.data_centre != *own_place;
+    let scored = candidates.iter().enumerate().map(|(at, state)| {
+        let slots = f64::from(state.entry.slots.max(1));
+        let wait_ms = state.load().runs / slots * PLAIN_RUN_MS;
+        let is_remote = state.entry.data_centre != *own_data_centre;
         let distance_ms = if is_remote { REMOTE_CALL_MS } else { 0.0 };
-        let rating = wait_ms + distance_ms + FAILURE_MS * member.failures;
-        // Equals are taken in turn, from a start that differs between requests.
+        let score_ms = wait_ms + distance_ms + FAILURE_PENALTY_MS * state.failures;
+        // Equal scores are resolved in round-robin order from a random start.
         let turn = (at as u64).wrapping_add(draw) % (candidates.len() as u64);
-        (rating, turn, member)
+        (score_ms, turn, state)
     });
-    let best = rated.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-    best.map(|(_, _, member)| member.entry.name.clone())
+    let best = scored.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    best.map(|(_, _, state)| state.entry.name.clone())
 }
--- a/components/gateway/src/prefixes.rs
+++ b/components/gateway/src/prefixes.rs
@@ -1,8 +1,8 @@
-//! Which target has read which parts of prompts: a hint, never relied on.
+//! Approximate index of the prompt prefixes in the targets' prefix caches.
 //!
-//! Fed by this process's own calls and by what peers report. Engines evict the least recently
-//! used parts, so an entry is trusted only while the target has not since read more tokens than
-//! its memory holds.
+//! It is built from this process's calls and from reports of peers, and is only a hint for
+//! placement. Engines evict the least recently used prefixes, so an entry is ignored once the
+//! target has since processed more tokens than a fixed fraction of its KV cache holds.
 
 use std::collections::HashMap;
 
@@ -11,36 +11,36 @@
 use crate::protocol::PartId;
 use crate::protocol::PromptPart;
 
-/// Hash of a part and of all parts before it.
+/// Hash of a prompt part chained with all parts before it.
 pub type PrefixHash = u64;
-/// Position of a target's run; a restart takes a new one.
-pub type Holder = u32;
+/// Id of one run of a target, local to this process; a restarted target gets a new one.
+pub type InstanceId = u32;
 
-/// Most holders that are remembered for one prefix.
-const HOLDERS_LIMIT: usize = 64;
-/// Holders of most prefixes.
-const FEW_HOLDERS: usize = 6;
-/// Most prefixes that are remembered.
+/// Most instances stored for one prefix; the least recent one is dropped.
+const INSTANCES_LIMIT: usize = 64;
+/// Instances of a prefix that are stored without a heap allocation; enough for most prefixes.
+const INLINE_INSTANCES: usize = 6;
+/// Number of prefixes above which the index is cleared.
 const PREFIXES_LIMIT: usize = 1 << 14;
-/// Part of an engine's memory that cached parts are trusted to have; running requests take the
-/// rest.
-const TRUSTED_PART: f64 = 0.7;
+/// Fraction of an engine's KV cache that is assumed to hold cached prefixes; running requests take
+/// the rest.
+const TRUSTED_FRACTION: f64 = 0.7;
 
 #[derive(Debug, Clone, Copy)]
-struct Use {
-    holder: Holder,
-    /// Tokens that the holder had read when it last used the prefix.
-    at_tokens: u64,
+struct CacheEntry {
+    instance: InstanceId,
+    /// Tokens that the instance had processed when it last used the prefix.
+    used_at_tokens: u64,
 }
 
-/// Index of prefixes.
+/// Prefixes with the instances that have processed them.
 #[derive(Debug, Default)]
-pub struct PrefixHints {
-    uses: HashMap<PrefixHash, SmallVec<[Use; FEW_HOLDERS]>>,
-    read_tokens: HashMap<Holder, u64>,
+pub struct PrefixIndex {
+    entries: HashMap<PrefixHash, SmallVec<[CacheEntry; INLINE_INSTANCES]>>,
+    prefilled_tokens: HashMap<InstanceId, u64>,
 }
 
-/// Hashes of the parts that may be shared: all but the last one, which is the request's own.
+/// Prefix hashes of all parts but the last one, which no other request shares.
 #[must_use]
 pub fn shared_hashes(parts: &[PromptPart]) -> SmallVec<[PrefixHash; 4]> {
     let shared = parts.split_last().map_or(&[][..], |(_, shared)| shared);
@@ -57,48 +57,60 @@
     mixed ^ (mixed >> 29)
 }
 
-impl PrefixHints {
-    /// Notes that a holder reads a prompt, of which `tokens` are not in its memory yet.
-    pub fn reads(&mut self, holder: Holder, hashes: &[PrefixHash], tokens: u64) {
-        let read = self.read_tokens.entry(holder).or_default();
-        *read += tokens;
-        let at_tokens = *read;
-        if self.uses.len() > PREFIXES_LIMIT {
-            self.uses.clear();
+impl PrefixIndex {
+    /// Records the prefill of a prompt, of which `tokens` were not in the instance's cache.
+    pub fn record_prefill(&mut self, instance: InstanceId, hashes: &[PrefixHash], tokens: u64) {
+        let total_tokens = self.prefilled_tokens.entry(instance).or_default();
+        *total_tokens += tokens;
+        let used_at_tokens = *total_tokens;
+        if self.entries.len() > PREFIXES_LIMIT {
+            self.entries.clear();
         }
         for hash in hashes {
-            let uses = self.uses.entry(*hash).or_default();
-            uses.retain(|known| known.holder != holder);
-            if uses.len() == HOLDERS_LIMIT {
-                uses.remove(0);
+            let entries = self.entries.entry(*hash).or_default();
+            entries.retain(|entry| entry.instance != instance);
+            if entries.len() == INSTANCES_LIMIT {
+                entries.remove(0);
             }
-            uses.push(Use { holder, at_tokens });
+            entries.push(CacheEntry {
+                instance,
+                used_at_tokens,
+            });
         }
     }
 
-    /// Forgets a holder.
-    pub fn forget(&mut self, holder: Holder) {
-        self.read_tokens.remove(&holder);
-        self.uses.retain(|_, uses| {
-            uses.retain(|known| known.holder != holder);
-            !uses.is_empty()
+    /// Removes an instance and its prefixes.
+    pub fn remove_instance(&mut self, instance: InstanceId) {
+        self.prefilled_tokens.remove(&instance);
+        self.entries.retain(|_, entries| {
+            entries.retain(|entry| entry.instance != instance);
+            !entries.is_empty()
         });
     }
 
-    /// Number of leading prefixes that a holder is thought to have.
+    /// Number of leading prefixes that the instance probably still has in its cache.
     #[must_use]
-    pub fn matched(&self, holder: Holder, hashes: &[PrefixHash], memory_tokens: u64) -> usize {
-        #[allow(clippy::cast_precision_loss)] // memories are far below 2^52 tokens
-        let trusted_tokens = memory_tokens as f64 * TRUSTED_PART;
-        let read = self.read_tokens.get(&holder).copied().unwrap_or_default();
-        let held = hashes.iter().take_while(|hash| {
-            let uses = self.uses.get(hash).map_or(&[][..], SmallVec::as_slice);
-            uses.iter().any(|known| {
+    pub fn matching_prefixes(
+        &self,
+        instance: InstanceId,
+        hashes: &[PrefixHash],
+        capacity_tokens: u64,
+    ) -> usize {
+        #[allow(clippy::cast_precision_loss)] // capacities are far below 2^52 tokens
+        let trusted_tokens = capacity_tokens as f64 * TRUSTED_FRACTION;
+        let total_tokens = self
+            .prefilled_tokens
+            .get(&instance)
+            .copied()
+            .unwrap_or_default();
+        let matching = hashes.iter().take_while(|hash| {
+            let entries = self.entries.get(hash).map_or(&[][..], SmallVec::as_slice);
+            entries.iter().any(|entry| {
                 #[allow(clippy::cast_precision_loss)]
-                let since = read.saturating_sub(known.at_tokens) as f64;
-                known.holder == holder && since < trusted_tokens
+                let since = total_tokens.saturating_sub(entry.used_at_tokens) as f64;
+                entry.instance == instance && since < trusted_tokens
             })
         });
-        held.count()
+        matching.count()
     }
 }
