--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -1,6 +1,7 @@
-//! How requests and answers are written, on the callers' side and towards targets.
+//! Encoding of requests and answers, towards callers and towards targets.
 //!
-//! An adapter implements [`Protocol`]; everything here speaks of what the fields hold.
+//! An adapter implements [`Protocol`] for one platform. The types here hold the decoded values and
+//! are independent of the platform's header fields.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,37 +11,37 @@
 use smallvec::SmallVec;
 use types::TargetName;
 
-/// Part of a prompt that requests share, identified by its content.
+/// Id of a part of a prompt, derived from its content; equal parts of two prompts have the same id.
 pub type PartId = u64;
-/// Id of one request, as its caller sent it.
+/// Request id that the caller sent.
 pub type CallerRequestId = String;
-/// Name under which an engine keeps the memory of a prompt for a transfer.
+/// Handle under which an engine holds the KV cache of a prompt for a transfer.
 pub type TransferName = String;
 
 /// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity.
+    /// Id of the content.
     pub id: PartId,
-    /// Size.
+    /// Length of the part.
     pub tokens: u32,
 }
 
-/// What a request asks of a model.
+/// Sizes of a model request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ModelWork {
-    /// Size of the prompt.
+    /// Length of the whole prompt.
     pub prompt_tokens: u32,
-    /// Largest size of the answer.
+    /// Largest length of the answer.
     pub output_limit_tokens: u32,
-    /// Size of the answer that the caller expects, if it says so; right at the median.
+    /// Length of the answer that the caller expects, if it gives one; accurate at the median.
     pub output_hint_tokens: Option<u32>,
-    /// Parts of the prompt, in order; the last one is the request's own.
+    /// Parts of the prompt, in order; the last one is not shared with other requests.
     pub parts: SmallVec<[PromptPart; 4]>,
 }
 
 impl ModelWork {
-    /// Expected size of the answer.
+    /// Expected length of the answer.
     #[must_use]
     pub fn output_tokens(&self) -> u32 {
         let limit = self.output_limit_tokens;
@@ -49,109 +50,109 @@
     }
 }
 
-/// A caller's request.
+/// A decoded request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// Id.
+    /// Id, used in logs and passed on to targets.
     pub id: CallerRequestId,
-    /// Method.
+    /// HTTP method.
     pub method: http_types::Method,
-    /// Path and query, as sent.
+    /// Path and query, as sent by the caller.
     pub target: String,
-    /// Value of the `Host` field, as sent.
+    /// Value of the `Host` field, as sent by the caller.
     pub host: String,
-    /// Fields that the target gets, with their names in lower case.
+    /// Header fields to forward to the target, with lower-case names.
     pub fields: Vec<(String, String)>,
-    /// Body.
+    /// Body to forward.
     pub body: Vec<u8>,
-    /// Time that the caller waits.
+    /// Timeout of the caller.
     pub patience_ms: Duration,
-    /// What it asks of a model, if it does.
+    /// Sizes of a model request; `None` for other requests.
     pub work: Option<ModelWork>,
-    /// Event after which the caller wants a stream to go on.
+    /// Id of the event after which the caller resumes a stream.
     pub resume_after: Option<String>,
 }
 
-/// Memory of a prompt that another engine has read.
+/// KV cache of a prompt, held by the engine that ran the prefill.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transfer {
-    /// Engine that keeps it.
+    /// Engine that holds it.
     pub holder: TargetName,
-    /// Its address.
+    /// Address of that engine.
     pub address: SocketAddr,
-    /// Name of the memory there.
+    /// Handle of the KV cache on that engine.
     pub name: TransferName,
 }
 
-/// What a target is asked to do with a request.
+/// Step of a request that a target is called for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Read the prompt and keep its memory for a transfer.
+    /// Run the prefill and hold the KV cache for a transfer.
     Prefill,
-    /// Run it, from the memory of another engine if there is some.
+    /// Run the request, with the KV cache of another engine if one ran the prefill.
     Run(Option<Transfer>),
 }
 
 /// A call of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// Step.
+    /// Step to carry out.
     pub step: Step,
-    /// Process that is meant; any other refuses.
+    /// Target that the call is meant for; another process at its address refuses.
     pub target: TargetName,
-    /// Time that is left until the answer is of no use.
+    /// Time left until the request's deadline.
     pub left_ms: Duration,
-    /// Rank at the engine; 0 is the most urgent.
+    /// Priority at the engine, from 0, the highest, to 9.
     pub urgency: u8,
-    /// Event after which the stream goes on, if not the caller's own choice.
+    /// Id of the event after which an interrupted stream is resumed; overrides the caller's.
     pub resume_after: Option<String>,
 }
 
-/// What the head of an answer says.
+/// Facts decoded from the head of a target's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerFacts {
-    /// A target answered, not something on the way.
+    /// The answer comes from a target and not from an intermediary.
     pub is_signed: bool,
-    /// The target states that it has not run the request and will not.
+    /// The target states that the request has not run and will not.
     pub not_run: bool,
-    /// The process at this address is not the one that was meant.
+    /// Another process than the called target listens at the address.
     pub is_other_process: bool,
 }
 
-/// What an engine says after it has read a prompt.
+/// Answer of an engine to a prefill.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prefilled {
-    /// Name of the memory.
+    /// Handle of the KV cache.
     pub name: TransferName,
 }
 
-/// Encoding and decoding of heads.
+/// Encoding and decoding of message heads for one platform.
 pub trait Protocol {
     /// Decodes a caller's request.
     ///
     /// # Errors
     ///
-    /// The problem to answer with.
+    /// The problem with which the request is refused.
     fn request(&self, request: http::Request) -> Result<CallerRequest, http::Problem>;
 
     /// Encodes the head of a call.
     fn call_head(&self, request: &CallerRequest, call: &Call) -> Vec<u8>;
 
-    /// Whether an answer belongs to a request.
+    /// Whether an answer is for the request with this id; guards against mixed-up connections.
     fn is_own(&self, fields: &Headers, id: &CallerRequestId) -> bool;
 
-    /// Facts of an answer's head.
+    /// Decodes the head of a target's answer.
     fn facts(&self, status: u16, fields: &Headers) -> AnswerFacts;
 
-    /// Head of the answer that the caller gets for a target's answer.
+    /// Head of the caller's answer, made from that of the target.
     fn answer_head(&self, status: u16, fields: &Headers) -> Response;
 
-    /// Decodes the answer to [`Step::Prefill`]; `None` if it is not one.
+    /// Decodes the answer to [`Step::Prefill`]; `None` if it is invalid.
     fn prefilled(&self, body: &[u8]) -> Option<Prefilled>;
 
-    /// Encodes the head of the call that frees the memory of a prompt.
+    /// Encodes the head of the call that releases the KV cache of a prompt.
     fn release_head(&self, transfer: &Transfer) -> Vec<u8>;
 
-    /// Adds the request's id to an answer of our own.
+    /// Adds the request id to an answer that the gateway generated itself.
     fn mark_own_answer(&self, head: &mut Response, id: &CallerRequestId);
 }
--- a/components/gateway/src/routes.rs
+++ b/components/gateway/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Selection of the route and the service of a request.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 use crate::deployment::Configuration;
 use crate::deployment::Route;
 
-/// The route of a host whose prefix is the longest at the beginning of a path.
+/// The route of a host with the longest prefix that matches the path.
 #[must_use]
 pub fn find<'a>(configuration: &'a Configuration, host: &str, path: &str) -> Option<&'a Rc<Route>> {
     let matching = configuration
@@ -17,7 +17,7 @@
     matching.max_by_key(|route| route.path_prefix.len())
 }
 
-/// The service that a request goes to; `draw` spreads requests over the services of a split.
+/// The service of a request; `draw` is a random number that selects by the weights of the split.
 #[must_use]
 pub fn service(route: &Route, draw: u64) -> Option<&ServiceName> {
     let total: u64 = route
--- a/components/gateway/src/settings.rs
+++ b/components/gateway/src/settings.rs
@@ -8,29 +8,29 @@
 
 use crate::repeats::RepeatAllowance;
 
-/// Everything that differs between processes or deployments.
+/// Settings that differ between processes or deployments.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
-    /// Host, unique within the deployment.
+    /// Name of the host, unique within the deployment.
     pub host: HostName,
     /// Data centre of the host.
     pub data_centre: Place,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where the load balancer asks whether the process takes callers.
+    /// Listen address for the load balancer's readiness probes.
     pub ready: SocketAddr,
-    /// Where metrics are read.
+    /// Listen address for scrapes of the metrics.
     pub metrics: SocketAddr,
-    /// Where datagrams of peers arrive.
+    /// Address on which datagrams of peers are received.
     pub peers: SocketAddr,
-    /// Memory of the process.
+    /// Memory available to the process.
     pub memory_bytes: u64,
-    /// Descriptors for sockets.
+    /// File descriptors available for sockets.
     pub socket_limit: usize,
-    /// Repeats that services allow.
+    /// Retries that services allow.
     pub repeats: RepeatAllowance,
-    /// Least number of processes that are taken to share an allowance.
+    /// Lower bound on the number of processes that the allowance is divided by.
     pub least_processes: usize,
-    /// Time between the signal to stop and the end of the process.
+    /// Time between the stop signal and the end of the process.
     pub stop_grace_ms: Duration,
 }
