--- a/components/gateway/src/core/active.rs
+++ b/components/gateway/src/core/active.rs
@@ -58,7 +58,7 @@
     pub(super) received: Instant,
     pub(super) deadline: Instant,
     pub(super) tried_targets: SmallVec<[TargetName; 4]>,
-    /// Calls that reached the service; each one after the first counts as a retry.
+    /// Calls counted as arrivals at the service; each one after the first is a retry.
     pub(super) arrivals: u32,
     pub(super) calls: u32,
     /// Calls that may have run the request; bounded by the route's `attempt_limit`.
--- a/components/gateway/src/daemon/callers.rs
+++ b/components/gateway/src/daemon/callers.rs
@@ -75,7 +75,7 @@
             Decision::End(ending) => break ending,
         };
         let call = &next.call;
-        let answered = AnsweredCall {
+        let context = CallContext {
             daemon,
             number,
             call,
@@ -99,7 +99,7 @@
                 is_started: exchange.is_started(),
             },
             Ok(Some(Err(error))) => transport_outcome(error, exchange.is_started()),
-            Ok(Some(Ok(response))) => answered.handle_answer(response, exchange, deadline).await,
+            Ok(Some(Ok(response))) => context.handle_answer(response, exchange, deadline).await,
         };
         let now = daemon.clock.now();
         decision = daemon.core.borrow_mut().call_ended(now, number, outcome);
@@ -142,14 +142,14 @@
     }
 }
 
-/// A call whose response head has arrived.
-pub(super) struct AnsweredCall<'a> {
+/// The call that an answer belongs to, for handling the answer.
+pub(super) struct CallContext<'a> {
     pub(super) daemon: &'a Rc<Daemon>,
     pub(super) number: RequestNumber,
     pub(super) call: &'a Call,
 }
 
-impl AnsweredCall<'_> {
+impl CallContext<'_> {
     async fn handle_answer(
         &self,
         response: StreamingResponse,
--- a/components/gateway/src/daemon/monitoring.rs
+++ b/components/gateway/src/daemon/monitoring.rs
@@ -32,12 +32,12 @@
             idle_ms: IDLE_TIMEOUT_MS,
             ..ServerLimits::default()
         };
-        let (shutdown_guard, stop) = smol::channel::bounded(1);
+        let (stop_sender, stop) = smol::channel::bounded(1);
         let server = http::serve(listener, limits, handler, daemon.executor(), stop);
         daemon.spawn(async move {
             // Ends only with the process: accept errors are retried inside.
             let _ = server.await;
-            drop(shutdown_guard);
+            drop(stop_sender);
         });
     }
 }
--- a/components/gateway/src/daemon/stop.rs
+++ b/components/gateway/src/daemon/stop.rs
@@ -24,7 +24,7 @@
     listener: TcpListener,
     mut signals: Signals,
 ) {
-    let (running, stop) = smol::channel::bounded::<()>(1);
+    let (stop_sender, stop) = smol::channel::bounded::<()>(1);
     let handler = Rc::new(Callers {
         daemon: daemon.clone(),
     });
@@ -32,7 +32,7 @@
     let server = http::serve(listener, limits, handler, daemon.executor(), stop);
     let (server_ended_guard, server_ended) = smol::channel::bounded::<()>(1);
     daemon.spawn(async move {
-        // The server ends when `running` is dropped and all connections have closed.
+        // The server ends when `stop_sender` is dropped and all connections have closed.
         let _ = server.await;
         drop(server_ended_guard);
     });
@@ -42,7 +42,7 @@
     let in_flight = daemon.core.borrow().in_flight();
     daemon.log_event(LogEvent::Stopping { in_flight });
     Timer::after(BALANCER_NOTICE_MS).await;
-    drop(running);
+    drop(stop_sender);
     let grace = daemon.settings.stop_grace_ms.mul_f64(GRACE_FRACTION);
     let timeout = async {
         Timer::after(grace.saturating_sub(BALANCER_NOTICE_MS)).await;
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -252,7 +252,7 @@
         }
         self.next_instance += 1;
         let state = TargetState {
-            key: key(&entry),
+            key: target_key(&entry),
             instance: self.next_instance,
             own_load: Load::default(),
             peer_load: Load::default(),
@@ -515,7 +515,7 @@
     Duration::from_secs_f64(value.max(0.0) / 1e3)
 }
 
-fn key(entry: &TargetEntry) -> TargetKey {
+fn target_key(entry: &TargetEntry) -> TargetKey {
     let mut hasher = blake3::Hasher::new();
     hasher.update(entry.name.as_bytes());
     hasher.update(&entry.born_ms.to_le_bytes());
--- a/components/gateway/src/placement.rs
+++ b/components/gateway/src/placement.rs
@@ -26,7 +26,7 @@
 const WORK_WEIGHT: f64 = 2.0;
 /// Fixed cost of a KV cache transfer between two engines.
 const TRANSFER_SETUP_MS: f64 = 6.0;
-/// Factor on the time of a transfer between data centres, as on the engines' links.
+/// Factor on the time of a transfer between data centres; the same as on the engines' links.
 const REMOTE_TRANSFER_FACTOR: f64 = 2.0;
 /// Running streams of a decode engine that are assumed when the duration of an answer is estimated.
 const TYPICAL_STREAMS: f64 = 12.0;
