--- a/components/request/src/action.rs
+++ b/components/request/src/action.rs
@@ -1,4 +1,4 @@
-//! What the state machine of requests asks for.
+//! Actions that the request state machine asks the entry to carry out.
 
 use std::time::Duration;
 
@@ -16,91 +16,92 @@
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Whole answer relayed.
+    /// The complete answer was relayed.
     Answered,
-    /// Refused.
+    /// Refused for this reason.
     Refused(RefusalReason),
-    /// The caller hung up.
+    /// The caller disconnected before the end of its answer.
     Abandoned,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Whole answer received.
+    /// The complete answer was received.
     Answered,
-    /// Not run; with the agent's reason, if it gave one.
+    /// Not executed; carries the agent's reason if it gave one.
     Rejected(Option<Rejection>),
-    /// Failed at the target, or the target was lost.
+    /// Failed at the target, or the target became unreachable.
     Failed,
-    /// Cancelled because nobody waits for it any more.
+    /// Cancelled because no caller waits for its answer any more.
     Cancelled,
 }
 
-/// One attempt of a request that has ended.
+/// One attempt, as reported when its request ends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptSummary {
-    /// Target that it was sent to.
+    /// Target that the attempt was sent to.
     pub target: TargetName,
-    /// Time from acceptance of the request to the dispatch.
+    /// Time from acceptance of the request to the dispatch of the attempt.
     pub start_ms: Duration,
-    /// Time from acceptance to the end, and how it ended; `None` while it runs.
+    /// Time from acceptance of the request to the end of the attempt, and how it ended; `None`
+    /// while it runs.
     pub end: Option<(Duration, AttemptEnd)>,
 }
 
-/// Figures of a request that has ended.
+/// Report on a request that has ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Summary {
-    /// Service addressed.
+    /// Service that the request addressed.
     pub service: ServiceName,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: Outcome,
-    /// Attempts that were sent, in order.
+    /// Attempts that were dispatched, in order.
     pub attempts: Vec<AttemptSummary>,
-    /// Time from acceptance to the first byte.
+    /// Time from acceptance to the first byte of the answer; `None` if there was none.
     pub first_byte_ms: Option<Duration>,
     /// Time from acceptance to the end.
     pub total_ms: Duration,
-    /// Tokens used.
+    /// Tokens that the target reported; zero for refusals and stored answers.
     pub usage: Usage,
 }
 
-/// One action.
+/// An action for the entry to carry out.
 #[derive(Debug)]
 pub enum Action {
-    /// Hand a part of the answer to the caller.
+    /// Pass the next part of the answer to the caller.
     Reply {
-        /// Request concerned.
+        /// Request that the part answers.
         request: RequestId,
-        /// Next part.
+        /// Head, piece of the body, end or refusal.
         reply: Reply,
     },
     /// Send a message to the agent of a target.
     Send {
-        /// Target concerned.
+        /// Target whose agent receives the message.
         target: TargetName,
-        /// The message.
+        /// Message to send.
         message: ToAgent,
     },
-    /// Call the table and report its end with the same number.
+    /// Call the table and report the result in `Event::TableDone`.
     Table {
-        /// Number of the call.
+        /// Number that identifies the call in the event.
         operation: u64,
-        /// The call.
+        /// Read or write to make.
         request: TableRequest,
     },
-    /// Call the object store and report its end with the same number.
+    /// Call the object store and report the result in `Event::ObjectDone`.
     Object {
-        /// Number of the call.
+        /// Number that identifies the call in the event.
         operation: u64,
-        /// The call.
+        /// Read, write or deletion to make.
         request: ObjectRequest,
     },
-    /// The request has ended; nothing is kept of it.
+    /// The request has ended; no more replies follow.
     Settled {
-        /// Request concerned.
+        /// Request that has ended.
         request: RequestId,
-        /// Its figures.
+        /// Report for logs and metrics.
         summary: Summary,
     },
 }
--- a/components/request/src/answer.rs
+++ b/components/request/src/answer.rs
@@ -1,7 +1,7 @@
 //! Assembly of one answer from the chunks of its attempts.
 //!
-//! Bytes that callers have are never sent twice. A later attempt starts again at offset 0; its
-//! bytes are held back until they have reproduced what callers already have.
+//! Callers receive every byte at most once. A later attempt starts again at offset 0; its bytes are
+//! compared with the prefix that callers already have, by digest, and relayed only beyond it.
 
 use std::rc::Rc;
 
@@ -13,20 +13,20 @@
 use crate::retained::MemoryBudget;
 use crate::retained::RetainedBody;
 
-/// Head of an answer.
+/// Status and header fields of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerHead {
     /// HTTP status.
     pub status: u16,
     /// Media type.
     pub content_type: String,
-    /// Other fields that callers get.
+    /// Other header fields that are passed to callers.
     pub headers: Headers,
 }
 
 impl AnswerHead {
-    /// Whether bodies under both heads may be parts of the same representation. Other fields,
-    /// such as `Date`, differ from attempt to attempt.
+    /// Whether both heads describe the same representation, so that their bodies can be joined.
+    /// Other fields, such as `Date`, may differ between attempts.
     fn is_same_representation(&self, other: &Self) -> bool {
         let describes_content = |header: &&Header| {
             header.name.starts_with("content-")
@@ -39,20 +39,20 @@
     }
 }
 
-/// What became of a part of an answer.
+/// Effect of a received part on the assembled answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// New for the callers.
+    /// Bytes to relay to the callers.
     New(Vec<u8>),
-    /// Nothing new.
+    /// Nothing to relay.
     Unchanged,
-    /// Something before it is missing; the agent has to send from `received` again.
+    /// An earlier part is missing; the agent has to resume at offset `received`.
     Gap,
-    /// It contradicts what callers already have, or its own digest.
+    /// The part differs from what callers already have, or from its own digest.
     Mismatch,
 }
 
-/// Answer of one run, over all of its attempts.
+/// Answer of one run, assembled over all of its attempts.
 #[derive(Default)]
 pub struct Answer {
     head: Option<AnswerHead>,
@@ -64,7 +64,7 @@
 }
 
 impl Answer {
-    /// Keeps the bytes as well, for joiners and for storage, as far as the limits allow.
+    /// Starts an answer whose body is retained for resends and storage, as far as the limits allow.
     #[must_use]
     pub fn retaining(budget: &MemoryBudget) -> Self {
         Self {
@@ -73,46 +73,46 @@
         }
     }
 
-    /// Status and media type, once known.
+    /// Head of the first attempt that sent one.
     #[must_use]
     pub fn head(&self) -> Option<&AnswerHead> {
         self.head.as_ref()
     }
 
-    /// Bytes of the current attempt.
+    /// Number of body bytes received from the current attempt.
     #[must_use]
     pub fn received(&self) -> u64 {
         self.current.length()
     }
 
-    /// All bytes so far, unless a limit was exceeded.
+    /// The body so far; `None` if it is not retained or exceeded a limit.
     #[must_use]
     pub fn retained(&self) -> Option<&[u8]> {
         self.retained.as_ref().map(|retained| retained.bytes())
     }
 
-    /// The same bytes, to be held beyond the life of the run.
+    /// Shares the retained body, which then outlives the run.
     pub(crate) fn share_retained(&self) -> Option<Rc<RetainedBody>> {
         self.retained.clone()
     }
 
-    /// Bytes handed to callers.
+    /// Number of body bytes relayed to callers.
     #[must_use]
     pub fn relayed(&self) -> u64 {
         self.relayed
     }
 
-    /// A new attempt begins.
+    /// Starts the answer of a new attempt.
     pub fn restart(&mut self) {
         let previous = std::mem::take(&mut self.current);
         self.has_attempt_head = false;
-        // An attempt that was lost while it still repeated the prefix does not shorten it.
+        // If the attempt ended before it had repeated the whole prefix, the known prefix remains.
         if previous.length() >= self.relayed && self.relayed > 0 {
             self.prefix = Some((self.relayed, previous.digest()));
         }
     }
 
-    /// The attempt's head arrived. `New` (empty) if callers do not have one yet.
+    /// Receives the head of the attempt. Returns an empty `New` if callers have no head yet.
     pub fn receive_head(&mut self, head: AnswerHead) -> Progress {
         self.has_attempt_head = true;
         match &self.head {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Bytes of the attempt arrived.
+    /// Receives body bytes of the attempt, starting at `offset`.
     pub fn receive_chunk(&mut self, offset: u64, mut bytes: Vec<u8>) -> Progress {
         let received = self.received();
         if !self.has_attempt_head || offset > received {
@@ -162,14 +162,14 @@
     }
 
     fn retain_bytes(&mut self, bytes: &[u8]) {
-        // Nobody else holds the bytes of an answer that still grows.
+        // The body is shared only once the answer is complete, so `get_mut` succeeds until then.
         let pushed = self.retained.as_mut().and_then(Rc::get_mut);
         if !pushed.is_some_and(|retained| retained.push(bytes)) {
             self.retained = None;
         }
     }
 
-    /// The attempt's end arrived. `Unchanged` means that the answer is whole.
+    /// Receives the end of the attempt. Returns `Unchanged` if the answer is complete.
     #[must_use]
     pub fn receive_end(&self, length: u64, digest: &Digest) -> Progress {
         if !self.has_attempt_head || self.received() < length {
--- a/components/request/src/batch.rs
+++ b/components/request/src/batch.rs
@@ -1,9 +1,10 @@
-//! Writes of claim rows, committed in batches.
+//! Batches claim writes into table transactions.
 //!
-//! Writes that arrive within a few milliseconds share a transaction, because the table takes
-//! several hundred writes a second for all entries together. A write whose row has changed is
-//! taken out of its batch, and the others are sent again. Every write carries a token: a row
-//! with the token of a write is that write, whatever became of its reply.
+//! Writes that arrive within a few milliseconds share a transaction, because the table accepts only
+//! several hundred writes a second from all entries together. If a transaction conflicts, the
+//! writes whose rows have changed are removed and the others are committed again. Every write
+//! carries a unique token, so a row with that token proves that the write took effect even if its
+//! reply was lost.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -25,63 +26,63 @@
 use crate::claim::EPOCH_KEY;
 use crate::claim::EpochRow;
 
-/// Time that a write waits for others.
+/// Time that the first write of a batch waits for others.
 const BATCH_DELAY_MS: Duration = Duration::from_millis(5);
-/// Least time between two transactions that are not full. 20 a second leave half of a process's
-/// write budget to changes, leases and retries.
+/// Minimum time between two transactions that are not full. At 20 a second, half of the write
+/// budget of a process is left for configuration changes, leases and retries.
 const MIN_COMMIT_INTERVAL_MS: Duration = Duration::from_millis(50);
-/// Writes in one transaction.
+/// Maximum number of writes in one transaction.
 const BATCH_LIMIT_WRITES: usize = 32;
-/// Stored answers in one transaction; an outage would make one of 32 large answers fail as a
-/// whole again and again.
+/// Body bytes of stored answers that make a batch full. During an outage, a transaction with 32
+/// large answers would fail as a whole on every retry.
 const BATCH_LIMIT_BYTES: usize = 512 << 10;
 
-/// What a write is for.
+/// Purpose of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// A run wants to dispatch.
+    /// Takes the claim for this run, which is dispatched after the commit.
     TakeClaim(RequestId),
-    /// A run has ended.
+    /// Records how a run ended.
     RecordOutcome,
 }
 
-/// One write of a claim row.
+/// Conditional write of a claim row.
 #[derive(Debug, Clone)]
 pub struct Write {
-    /// Row key.
+    /// Key of the row.
     pub key: String,
-    /// Version that the row must have.
+    /// Version that the row must still have; 0 if it must not exist.
     pub version: RowVersion,
-    /// New value. `expires_epoch` is set when a claim is taken.
+    /// New value. `expires_epoch` is filled in at the commit that takes the claim.
     pub row: ClaimRow,
-    /// Epochs that the row is kept for.
-    pub epochs_kept: u64,
-    /// What it is for.
+    /// Number of epochs after which the row expires.
+    pub retention_epochs: u64,
+    /// What the write is part of.
     pub purpose: Purpose,
 }
 
-/// How a write ended.
+/// Result of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteEnd {
-    /// In force, at this version.
+    /// Committed at this version.
     Committed(RowVersion),
-    /// Written, and changed by someone else since.
+    /// Committed, and changed by another writer since.
     Overwritten,
-    /// Not written: the row is now this one.
+    /// Not committed because the row had changed; carries the current row.
     Changed(Option<Row>),
-    /// Not written: the table does not answer.
+    /// Not committed because the table is unavailable.
     Unavailable,
-    /// Possibly written, now or later.
+    /// The table did not answer; the write may have taken effect or may still do so.
     Unanswered,
 }
 
 struct InFlight {
     writes: Vec<Write>,
-    /// Reads the rows, after a conflict that did not name any of them.
+    /// The call reads the rows, after a conflict that named none of them.
     is_read: bool,
 }
 
-/// Writes that wait or are under way.
+/// Claim writes that are pending or in flight.
 #[derive(Default)]
 pub struct WriteBatcher {
     pending: Vec<Write>,
@@ -94,30 +95,30 @@
 }
 
 impl WriteBatcher {
-    /// Whether nothing waits and nothing is under way.
+    /// Whether no write is pending or in flight.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Adds a write and returns when to call `flush`.
+    /// Adds a write and returns the time at which to call `flush`.
     pub fn push(&mut self, now: Instant, write: Write) -> Instant {
         self.pending_bytes += write.row.answer.as_ref().map_or(0, |a| a.body.len());
         self.pending.push(write);
-        let full =
+        let is_full =
             self.pending.len() >= BATCH_LIMIT_WRITES || self.pending_bytes >= BATCH_LIMIT_BYTES;
-        let spaced = self
+        let earliest = self
             .last_flush_at
             .map_or(now, |at| at + MIN_COMMIT_INTERVAL_MS);
         let at = self
             .next_flush_at
-            .unwrap_or(spaced.max(now + BATCH_DELAY_MS));
-        let at = if full { now } else { at };
+            .unwrap_or(earliest.max(now + BATCH_DELAY_MS));
+        let at = if is_full { now } else { at };
         self.next_flush_at = Some(at);
         at
     }
 
-    /// Starts the next transaction if it is due.
+    /// Returns the next transaction if it is due.
     pub fn flush(&mut self, now: Instant, operation: u64) -> Option<TableRequest> {
         if self.next_flush_at.is_none_or(|at| at > now) {
             return None;
@@ -129,9 +130,9 @@
         self.commit(operation, writes)
     }
 
-    /// Takes the first write of each row. Two writes of one row under the same version would
-    /// both succeed in one transaction, and the run of the first would take the claim of the
-    /// second for its own. In a transaction of its own, the second meets a changed row.
+    /// Takes the first pending write of each row. In one transaction, two writes of a row under the
+    /// same version would both succeed, and the run of the first would treat the claim of the
+    /// second as its own. In separate transactions, the second one conflicts.
     fn next_batch(&mut self) -> Vec<Write> {
         let mut keys = BTreeSet::new();
         let mut batch = Vec::new();
@@ -147,14 +148,14 @@
         batch
     }
 
-    /// Whether the operation belongs to a batch.
+    /// Whether the operation is a call of this batcher.
     #[must_use]
     pub fn owns(&self, operation: u64) -> bool {
         self.in_flight.contains_key(&operation)
     }
 
-    /// Takes the end of an operation. Returns the writes that have ended, and a request to be
-    /// made under the number `next` for the others.
+    /// Processes the result of an operation. Returns the writes that have ended, and a request for
+    /// the others that is to be sent as operation `next`.
     pub fn complete(
         &mut self,
         operation: u64,
@@ -182,7 +183,7 @@
             Err(StoreError::Unavailable(_) | StoreError::RateLimited) => {
                 (with_outcome(writes, &WriteEnd::Unavailable), None)
             }
-            // A read that fails has written nothing, and neither has the commit before it.
+            // The read follows a commit that conflicted, so nothing was written.
             Err(_) | Ok(_) if is_read => (with_outcome(writes, &WriteEnd::Unavailable), None),
             Err(_) | Ok(_) => (with_outcome(writes, &WriteEnd::Unanswered), None),
         }
@@ -197,11 +198,11 @@
             ..Transaction::default()
         };
         for (index, write) in writes.iter_mut().enumerate() {
-            // Without it, a row that an earlier transaction wrote would prove this one, and the
-            // other writes would be taken for done.
+            // Without this number, a row written by an earlier transaction would be accepted as
+            // proof of this one, and the other writes would be reported as committed.
             write.row.proves = (index == 0).then_some(operation);
             if matches!(write.purpose, Purpose::TakeClaim(_)) {
-                write.row.expires_epoch = self.epoch + write.epochs_kept;
+                write.row.expires_epoch = self.epoch + write.retention_epochs;
             }
             transaction.checks.push(Check {
                 key: write.key.clone(),
@@ -231,8 +232,8 @@
         TableRequest::Read(keys)
     }
 
-    /// Separates writes whose row has changed from those to be sent again. With `complete`,
-    /// a row that is not listed is absent; otherwise it is as expected.
+    /// Separates the writes whose row has changed from those to commit again. If `complete` is set,
+    /// a row that is not in `rows` does not exist; otherwise it is unchanged.
     fn split_by_conflict(
         &mut self,
         writes: Vec<Write>,
@@ -281,7 +282,8 @@
         .into_iter()
         .zip(versions.iter().copied())
         .map(|(write, version)| match version {
-            // A lost reply was resolved by the proof row, and this row has changed since.
+            // The reply was lost and the commit was proved by its proof row; this row has changed
+            // since.
             0 => (write, WriteEnd::Overwritten),
             version => (write, WriteEnd::Committed(version)),
         })
--- a/components/request/src/budget.rs
+++ b/components/request/src/budget.rs
@@ -1,7 +1,7 @@
-//! Budget for second and later attempts, per service.
+//! Retry budget of a service, spent by second and later attempts.
 //!
-//! Without it, a service that fails most attempts would get up to `attempt_limit` times its
-//! load just when it can bear the least.
+//! Without a budget, a service that fails most attempts would receive up to `attempt_limit` times
+//! its normal load while it is least able to handle it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,13 +9,13 @@
 use crate::window::Counts;
 use crate::window::Window;
 
-/// Retries are a tenth of the requests at most.
+/// At most one retry is allowed per this many requests.
 const REQUESTS_PER_RETRY: u64 = 10;
-/// Retries allowed however few requests there are. Callers that wait for an answer send nothing
-/// new, so a fault that stops all targets lowers the number of requests just when each of them
-/// needs a retry: with 3, `chaos --seed 104` kept up to 8 requests waiting until their deadline.
+/// Retries allowed per window regardless of the number of requests. Callers that wait for an answer
+/// send nothing new, so a fault of all targets lowers the request rate just when each request needs
+/// a retry; with a minimum of 3, requests waited for the budget until their deadline.
 const MIN_RETRIES: u64 = 20;
-/// Time over which requests and retries are counted.
+/// Length of the sliding window over which requests and retries are counted.
 const WINDOW_MS: Duration = Duration::from_secs(10);
 
 /// Retry budget of one service.
@@ -25,12 +25,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a request.
+    /// Counts a request that was admitted.
     pub fn count_request(&mut self, now: Instant) {
         self.window.current(now, WINDOW_MS).requests += 1;
     }
 
-    /// Takes one retry, if the budget has one left.
+    /// Takes one retry from the budget; returns false if none is left.
     pub fn try_take(&mut self, now: Instant) -> bool {
         let Counts { requests, repeats } = self.window.counts(now, WINDOW_MS);
         let allowed = (requests / REQUESTS_PER_RETRY).max(MIN_RETRIES);
--- a/components/request/src/claim.rs
+++ b/components/request/src/claim.rs
@@ -1,4 +1,4 @@
-//! The claim of a non-idempotent request, as it stands in the table.
+//! Claim rows: table records that prevent a non-idempotent request from running twice.
 
 use std::time::Duration;
 
@@ -14,84 +14,85 @@
 use types::Submission;
 use types::TargetName;
 
-/// Start of the keys of all claim rows.
+/// Key prefix of all claim rows.
 pub const CLAIM_PREFIX: &str = "claim/";
-/// Row that counts epochs, written by the holder of the `sweep` lease.
+/// Key of the row with the epoch counter, written by the holder of the `sweep` lease.
 pub const EPOCH_KEY: &str = "sweep-epoch";
-/// Least length of an epoch. Claims expire by counting epochs, because the clocks of two hosts
-/// are never compared.
+/// Minimum length of an epoch. Claims expire by epoch number instead of time of day, so that
+/// expiry does not depend on clocks of different hosts agreeing.
 pub const EPOCH_MS: Duration = Duration::from_mins(1);
-/// Largest answer that is stored in the row; a larger one goes to the object store.
+/// Largest answer body that is stored in the row; larger ones go to the object store.
 pub const ROW_ANSWER_LIMIT_BYTES: usize = 64 << 10;
-/// Largest answer that is kept for resends. Agents keep no larger one either (their
-/// `kept_answer_limit_bytes`), so a larger one could not be given to resends until it is stored,
-/// and an entry with 128 MB must hold it whole until then.
+/// Largest answer body that is retained for resends. Agents retain no larger one either (their
+/// `kept_answer_limit_bytes`), so resends could not get a larger one until it is stored, and an
+/// entry with 128 MB of memory would have to hold all of it until then.
 pub const KEPT_ANSWER_LIMIT_BYTES: usize = 1 << 20;
-/// Start of the keys of stored answers in the object store.
+/// Key prefix of stored answers in the object store.
 const OBJECT_PREFIX: &str = "answer/";
-/// Start of the keys of claims that no resend can find; their answers are not stored.
+/// Key prefix of claims of requests without an `Idempotency-Key`. No resend can find them, so
+/// their answers are not stored.
 pub const KEYLESS_PREFIX: &str = "claim/keyless-";
 
-/// What is known of the claimed request.
+/// Execution state of the claimed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// An entry may dispatch it, or has done so.
+    /// An entry may dispatch it, or has dispatched it.
     Taken,
-    /// It ran to its end.
+    /// It ran to completion.
     Done,
-    /// It was not run and will not be under this claim.
+    /// It did not run, and will not run under this claim.
     Released,
-    /// It may have run, and its outcome is lost.
+    /// It may have run, and its outcome is unknown.
     Unknown,
 }
 
-/// Answer kept for resends.
+/// Answer stored in the claim row for resends.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Media type.
     pub content_type: String,
-    /// Other fields of its head; rows of earlier releases have none.
+    /// Other header fields; absent in rows of earlier releases.
     #[serde(default, skip_serializing_if = "Headers::is_empty")]
     pub headers: Headers,
     /// Target that answered.
     pub served_by: TargetName,
-    /// Whole body.
+    /// Complete body.
     #[serde_as(as = "Base64")]
     pub body: Vec<u8>,
 }
 
-/// Answer kept in the object store, under `ClaimRow::object_key`.
+/// Answer whose body is in the object store, under `ClaimRow::object_key`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Media type.
     pub content_type: String,
-    /// Other fields of the head that the caller gets.
+    /// Other header fields that are passed to callers.
     #[serde(default, skip_serializing_if = "Headers::is_empty")]
     pub headers: Headers,
     /// Target that answered.
     pub served_by: TargetName,
-    /// Key of the body.
+    /// Object key of the body.
     pub key: String,
     /// Length of the body.
     pub length_bytes: u64,
-    /// BLAKE3 digest of the body in hex.
+    /// BLAKE3 digest of the body, in hexadecimal.
     pub digest: String,
 }
 
 impl StoredObject {
-    /// Whether these bytes are the whole body.
+    /// Whether `body` has the recorded length and digest.
     #[must_use]
     pub fn matches(&self, body: &[u8]) -> bool {
         body.len() as u64 == self.length_bytes && body_digest(body) == self.digest
     }
 
-    /// The answer with its body.
+    /// Combines the head with the body that was read.
     #[must_use]
     pub fn to_answer(&self, body: Vec<u8>) -> StoredAnswer {
         StoredAnswer {
@@ -108,9 +109,9 @@
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// Digest of what was asked; the same key with another one is refused.
+    /// `work_digest` of the request; a request with the same key and another digest is refused.
     pub digest: String,
-    /// Run of the entry that took the claim.
+    /// Incarnation of the entry that took the claim.
     #[serde_as(as = "DisplayFromStr")]
     pub owner: Incarnation,
     /// Request that the attempt belongs to.
@@ -120,30 +121,30 @@
     pub attempt: u32,
     /// Target that the attempt is for.
     pub target: TargetName,
-    /// Run of the target's agent.
+    /// Incarnation of the target's agent.
     #[serde_as(as = "DisplayFromStr")]
     pub incarnation: Incarnation,
-    /// What is known.
+    /// State of the claimed request.
     pub state: ClaimState,
-    /// Whole answer of a request that is done, if it is not above `ROW_ANSWER_LIMIT_BYTES`.
+    /// Answer of a `Done` request, if its body is at most `ROW_ANSWER_LIMIT_BYTES` long.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer: Option<StoredAnswer>,
-    /// Larger answer of a request that is done. Written only after the object is stored.
+    /// Larger answer of a `Done` request. Written only after the object is stored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub object: Option<StoredObject>,
-    /// Unique to the write, to recognise it when its reply is lost.
+    /// Token that is unique to the write, which identifies the write if its reply is lost.
     #[serde_as(as = "DisplayFromStr")]
     pub token: u128,
-    /// Epoch from which the row may be deleted.
+    /// Last epoch in which the row is valid; it is deleted after it.
     pub expires_epoch: u64,
-    /// Number of the transaction that this row proves. With `token` it is unique to that
-    /// transaction: a write that is sent again in another one keeps its token.
+    /// Number of the transaction that this row proves to be committed. It identifies the
+    /// transaction together with `token`, because a write that is sent again keeps its token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub proves: Option<u64>,
 }
 
 impl ClaimRow {
-    /// Attempt that the claim names.
+    /// Attempt that the claim was taken for.
     #[must_use]
     pub fn attempt_id(&self) -> AttemptId {
         AttemptId {
@@ -152,9 +153,9 @@
         }
     }
 
-    /// Key of the attempt's answer in the object store. An attempt of non-idempotent work has one
-    /// answer, so the key is never used for other content, and it is known before the row names
-    /// an object: the deletion of the claim finds objects of entries that died before that.
+    /// Object key of the attempt's answer. An attempt of non-idempotent work has one answer, so the
+    /// key is never used for other content. The key follows from the claim alone, so the deletion
+    /// of the claim also finds the object of an entry that stopped before its row named the object.
     #[must_use]
     pub fn object_key(&self, claim_key: &str) -> String {
         let claim = claim_key.strip_prefix(CLAIM_PREFIX).unwrap_or(claim_key);
@@ -162,8 +163,8 @@
         format!("{OBJECT_PREFIX}{claim}/{request:032x}-{attempt}")
     }
 
-    /// Whether there may be an object under `object_key`. At most one attempt of a claim ran, and
-    /// it is the one that the row names.
+    /// Whether there may be an object under `object_key`. At most one attempt of a claim ran, which
+    /// is the one in the row.
     #[must_use]
     pub fn may_have_object(&self, claim_key: &str) -> bool {
         self.answer.is_none()
@@ -171,16 +172,16 @@
             && !claim_key.starts_with(KEYLESS_PREFIX)
     }
 
-    /// Whether the row has the answer or says where it is.
+    /// Whether the row contains the answer or refers to its object.
     #[must_use]
     pub fn has_answer(&self) -> bool {
         self.answer.is_some() || self.object.is_some()
     }
 
-    /// JSON text.
+    /// Serialises the row to the JSON text that the table stores.
     #[must_use]
     pub fn to_json(&self) -> String {
-        // Only maps with keys that are not strings fail to serialise, and there are none.
+        // Serialisation fails only for maps with keys that are not strings; the row has no map.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
@@ -189,14 +190,14 @@
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRow {
-    /// Number of the epoch.
+    /// Current epoch number.
     pub epoch: u64,
-    /// Unique to the write.
+    /// Token that is unique to this write.
     #[serde_as(as = "DisplayFromStr")]
     pub token: u128,
 }
 
-/// Row key of a claim: hash of caller, service and `Idempotency-Key`.
+/// Row key of a claim, a hash of the caller, the service and the `Idempotency-Key`.
 #[must_use]
 pub fn claim_key(submission: &Submission, key: &str) -> String {
     let parts = [
@@ -207,7 +208,7 @@
     format!("{CLAIM_PREFIX}{}", hash(&parts))
 }
 
-/// Digest of what was asked: method, path, media type and body.
+/// Digest of the method, path, media type and body of a request.
 #[must_use]
 pub fn work_digest(submission: &Submission) -> String {
     let work = &submission.work;
@@ -219,14 +220,15 @@
     ])
 }
 
-/// Epochs that a claim is kept for. The epoch of the write may end at once, hence one more.
+/// Number of epochs that cover `retention_ms`. One is added because the epoch in which the claim is
+/// written may end right after the write.
 #[must_use]
-pub fn epochs_kept(retention_ms: Duration) -> u64 {
+pub fn retention_epochs(retention_ms: Duration) -> u64 {
     let epochs = retention_ms.as_millis().div_ceil(EPOCH_MS.as_millis());
     u64::try_from(epochs).unwrap_or(u64::MAX / 2) + 1
 }
 
-/// Digest of the body of a stored answer.
+/// BLAKE3 digest of a stored body, in hexadecimal.
 #[must_use]
 pub fn body_digest(body: &[u8]) -> String {
     blake3::hash(body).to_hex().to_string()
--- a/components/request/src/claims.rs
+++ b/components/request/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of runs: reading, taking, and what a claim met in the table means.
+//! Reads and takes the claims of runs, and resolves claims that already exist.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,7 +19,7 @@
 use crate::batch::WriteEnd;
 use crate::claim::ClaimRow;
 use crate::claim::ClaimState;
-use crate::claim::epochs_kept;
+use crate::claim::retention_epochs;
 use crate::objects::answer_unavailable;
 use crate::refusal::RETRY_MS;
 use crate::refusal::RefusalCause;
@@ -28,20 +28,20 @@
 use crate::requests::Timer;
 use crate::run::Phase;
 
-/// Time for the table to answer about a claim. A caller is better off with an answer that says
-/// "not run" than with one that arrives at its deadline.
+/// Time-out of a claim read or write, shorter than request deadlines: a caller can act on an early
+/// refusal that says "not run", but not on one that arrives at its deadline.
 pub(crate) const CLAIM_TIMEOUT_MS: Duration = Duration::from_secs(2);
-/// Claims of other entries that one run may meet, one after another.
-const CLAIM_CONFLICT_LIMIT: u32 = 8;
-/// Time that a read waits for others while one is under way.
+/// Number of times that a run resolves its claim before it gives up on another entry's claim.
+const CLAIM_RESOLUTION_LIMIT: u32 = 8;
+/// Time that a read waits for others to share its call while another call is in flight.
 const READ_BATCH_DELAY_MS: Duration = Duration::from_millis(5);
-/// Claims read in one call.
+/// Maximum number of claims read in one call.
 const READ_BATCH_LIMIT: usize = 64;
-/// A run that no caller waits for is given up this long after its deadline.
+/// Time after its deadline at which a run without callers is abandoned.
 pub(crate) const ORPHAN_TIMEOUT_MS: Duration = Duration::from_secs(30);
 
 impl Requests {
-    /// Reads the claim of a run with a key.
+    /// Reads the claim of a run that has an idempotency key.
     pub(crate) fn read_claim(&mut self, cx: &mut Context, id: RequestId) {
         let due = cx.now + CLAIM_TIMEOUT_MS;
         if let Some(run) = self.runs.get_mut(&id) {
@@ -49,7 +49,7 @@
             run.store_deadline = Some(due);
         }
         self.pending_reads.push(id);
-        // The first read goes at once; those that come while it is under way share a call.
+        // The first read is sent at once; reads that arrive while it is in flight share a call.
         let read_at = self
             .pending_reads_due
             .unwrap_or(if self.reads_in_flight.is_empty() {
@@ -62,7 +62,7 @@
         self.set_timer(due, Timer::StoreTimeout(id));
     }
 
-    /// Makes the reads and commits that are due.
+    /// Sends the table reads and commits that are due.
     pub(crate) fn flush_table(&mut self, cx: &mut Context) {
         self.flush_reads(cx);
         while let Some(request) = self.batches.flush(cx.now, self.last_operation + 1) {
@@ -146,15 +146,15 @@
         }
     }
 
-    /// Decides what a claim row, or its absence, means for a run that wants to be dispatched.
+    /// Decides how a run proceeds, given its claim row or the absence of one.
     pub(crate) fn resolve_claim(&mut self, cx: &mut Context, id: RequestId, row: Option<Row>) {
         let Some(claim) = self.runs.get_mut(&id).and_then(|run| run.claim.as_mut()) else {
             return;
         };
         claim.current_row = None;
         claim.version = row.as_ref().map_or(0, |row| row.version);
-        claim.conflicts += 1;
-        let has_too_many_conflicts = claim.conflicts > CLAIM_CONFLICT_LIMIT;
+        claim.resolutions += 1;
+        let is_limit_reached = claim.resolutions > CLAIM_RESOLUTION_LIMIT;
         let Some(row) = row else {
             self.enqueue(cx, id);
             return;
@@ -173,19 +173,19 @@
             ClaimState::Done => self.answer_from_store(cx, id, &value),
             ClaimState::Unknown => self.refuse_unknown(cx, id, &outcome_unknown()),
             ClaimState::Taken if value.owner != self.entry => {
-                if has_too_many_conflicts {
+                if is_limit_reached {
                     self.refuse_unknown(cx, id, &outcome_unknown());
                 } else {
                     self.query_agent(cx, id, value);
                 }
             }
-            // A claim of this entry without a run was never followed by a dispatch: the reply
-            // to its commit was lost.
+            // A claim of this entry that belongs to no run was not followed by a dispatch, because
+            // the reply to its commit was lost.
             ClaimState::Released | ClaimState::Taken => self.enqueue(cx, id),
         }
     }
 
-    /// Takes the claim for an attempt; the dispatch follows when the commit is known.
+    /// Writes the claim for an attempt, which is dispatched once the commit is confirmed.
     pub(crate) fn take_claim(
         &mut self,
         cx: &mut Context,
@@ -221,7 +221,7 @@
                 expires_epoch: 0,
                 proves: None,
             },
-            epochs_kept: epochs_kept(retention_ms),
+            retention_epochs: retention_epochs(retention_ms),
             purpose: Purpose::TakeClaim(id),
         };
         let due = cx.now + CLAIM_TIMEOUT_MS;
@@ -238,11 +238,11 @@
 
     fn claim_write_done(&mut self, cx: &mut Context, id: RequestId, write: Write, end: WriteEnd) {
         let taken = write.row.attempt;
-        let wanted = self
+        let is_current = self
             .runs
             .get(&id)
             .is_some_and(|run| matches!(run.phase, Phase::Claiming(..)) && run.attempt_no == taken);
-        if !wanted {
+        if !is_current {
             if let WriteEnd::Committed(version) = end {
                 self.release_claim(cx.now, write, version);
             }
@@ -253,7 +253,7 @@
             WriteEnd::Overwritten => self.read_claim(cx, id),
             WriteEnd::Changed(row) => self.resolve_claim(cx, id, row),
             WriteEnd::Unavailable | WriteEnd::Unanswered => {
-                // Whether or not the write takes effect, no dispatch follows it.
+                // The write may still take effect, but no dispatch follows it.
                 if let Some(claim) = self.runs.get_mut(&id).and_then(|run| run.claim.as_mut()) {
                     claim.current_row = None;
                 }
@@ -277,7 +277,7 @@
         self.dispatch(cx, id, attempt, target, incarnation);
     }
 
-    /// The table has not answered in time.
+    /// Refuses a run whose call to the table or the object store has timed out.
     pub(crate) fn store_call_timed_out(&mut self, cx: &mut Context, id: RequestId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
--- a/components/request/src/connections.rs
+++ b/components/request/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to agents that break and come back, and runs of agents that end.
+//! Attempts across lost and restored agent connections and restarts of agents.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 use crate::requests::Requests;
 use crate::requests::Timer;
 
-/// Time for a lost connection to come back before an idempotent attempt is moved. A connection
-/// is already lost only after 2 s of silence, so little more is spent on the same target.
+/// Time for a lost connection to be restored before an idempotent attempt is retried at another
+/// target. It is short because a connection counts as lost only after 2 s of silence.
 const RECONNECT_TIMEOUT_MS: Duration = Duration::from_millis(500);
 
 impl Requests {
@@ -28,8 +28,8 @@
         for id in replaced {
             self.attempt_lost(cx, id);
         }
-        // If a dispatch was lost with the last connection, the agent answers `Rejected`, and does
-        // not take a copy of it any more.
+        // If the dispatch was lost with the previous connection, the agent answers with `Rejected`
+        // and ignores late copies of the dispatch.
         for id in self.runs_with_attempt_at(target, |known| known == incarnation) {
             self.send_resume(cx, id);
         }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Gives a target without a connection some time, if the attempt can be moved.
+    /// Starts the reconnect time-out if the attempt is idempotent and its target is disconnected.
     pub(crate) fn start_reconnect_timer(&mut self, cx: &mut Context, id: RequestId) {
         let Some(run) = self.runs.get(&id).filter(|run| run.idempotent) else {
             return;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The connection did not come back in time: moves an idempotent attempt.
+    /// Retries an attempt whose connection was not restored in time.
     pub(crate) fn reconnect_timed_out(&mut self, cx: &mut Context, attempt: AttemptId) {
         let Some(&id) = self.runs_by_attempt.get(&attempt) else {
             return;
@@ -89,10 +89,10 @@
 
     fn attempt_lost(&mut self, cx: &mut Context, id: RequestId) {
         self.cancel_attempt(cx, id, AttemptEnd::Failed);
-        self.after_failure(cx, id, "the target was lost");
+        self.after_failure(cx, id, "the target disconnected or restarted");
     }
 
-    /// Runs with an attempt at some run of a target, in order of their ids.
+    /// Runs with an attempt at an incarnation of the target that `matches`, sorted by id.
     fn runs_with_attempt_at(
         &self,
         target: &TargetName,
--- a/components/request/src/dispatch.rs
+++ b/components/request/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Choice of a target for those that wait, and the dispatch of attempts.
+//! Routing of queued runs, and dispatch, cancellation and retry of attempts.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -30,18 +30,18 @@
 use crate::run::Phase;
 use crate::run::Run;
 
-/// Bytes of an answer that may be under way between an agent and a caller.
+/// Flow-control window: answer bytes in flight between an agent and a caller.
 pub(crate) const WINDOW_BYTES: u64 = 64 << 10;
-/// Part of a body that goes into one frame; far below `wire::MAX_FRAME_BYTES`, so that a long
-/// body does not hold up other frames.
+/// Maximum number of request body bytes in one frame. It is far below `wire::MAX_FRAME_BYTES` so
+/// that a long body does not delay other frames on the connection.
 const BODY_FRAME_BYTES: usize = 256 << 10;
-/// Time between looks at the retry budget.
+/// Interval at which runs that wait for the retry budget check it again.
 const BUDGET_POLL_MS: Duration = Duration::from_millis(200);
-/// Shortest time before the router is asked again.
+/// Minimum time until the router is asked again.
 const MIN_ROUTER_RETRY_MS: Duration = Duration::from_millis(1);
 
 impl Requests {
-    /// Dispatches those that wait, as far as the router finds targets.
+    /// Dispatches queued runs for which the router finds a target, and refuses infeasible ones.
     pub(crate) fn dispatch_queued(&mut self, cx: &mut Context) {
         let mut blocked: HashSet<QueueKey> = HashSet::new();
         let mut retry_ms: Option<Duration> = None;
@@ -71,12 +71,12 @@
                     if let Some(queue) = self.queues.get_mut(&key) {
                         queue.infeasible(left_ms.saturating_add(wait));
                     }
-                    let detail = "the request is not expected to finish by the time it is wanted";
+                    let detail = "no target is expected to finish the request in time";
                     let refusal = RefusalCause::new(RefusalReason::Overloaded, Some(wait), detail);
                     self.refuse(cx, id, &refusal);
                 }
                 Choice::Never => {
-                    let detail = "the service has no target that can take the request";
+                    let detail = "the service has no target that can serve the request";
                     let refusal =
                         RefusalCause::new(RefusalReason::NoTarget, Some(RETRY_MS), detail);
                     self.refuse(cx, id, &refusal);
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Asks the router for a target. Returns its choice and the time left until the answer is
-    /// wanted, or `None` if the run is gone.
+    /// Asks the router for a target. Returns its choice and the time left until the effective
+    /// deadline, or `None` if the run no longer exists.
     fn choose(
         &mut self,
         cx: &mut Context,
@@ -107,7 +107,7 @@
             None => (run.need.deadline, None),
         };
         let left_ms = deadline.saturating_duration_since(cx.now);
-        // Most requests are wanted by their deadline; their need is not copied.
+        // In most cases the deadline is not shortened, and the copy of `need` is avoided.
         if deadline == run.need.deadline && wanted_by.is_none() {
             let choice = cx.router.choose(cx.now, &run.need, &run.tried_targets);
             return Some((choice, left_ms));
@@ -127,19 +127,23 @@
         self.set_timer(now + wait_ms, Timer::DispatchQueued);
     }
 
-    /// Refuses those that wait and can no longer be answered in time, because more urgent ones
-    /// came in front of them or the targets have become slower.
+    /// Refuses queued runs that can no longer meet their deadline, because requests of higher
+    /// priority arrived or the targets became slower.
     fn refuse_overdue(&mut self, cx: &mut Context, key: &QueueKey) {
         let queue = self.queues.get_mut(key);
         let overdue = queue.map_or_else(Vec::new, |queue| queue.overdue(cx.now));
-        for Overdue { request, excess_ms } in overdue {
-            // A resend that joined may have a later deadline than the one that the queue knows.
+        for Overdue {
+            request,
+            lateness_ms,
+        } in overdue
+        {
+            // A resend that joined the run may have a later deadline than its queue entry.
             let joined = |run: &Run| run.waiters.len() > 1;
             if self.runs.get(&request).is_some_and(joined) {
                 continue;
             }
-            let detail = "the requests in front leave no time to answer it by its deadline";
-            let retry = excess_ms.max(RETRY_MS);
+            let detail = "requests ahead in the queue leave too little time before the deadline";
+            let retry = lateness_ms.max(RETRY_MS);
             let refusal = RefusalCause::new(RefusalReason::Overloaded, Some(retry), detail);
             self.refuse(cx, request, &refusal);
         }
@@ -164,7 +168,7 @@
         }
     }
 
-    /// A target was found.
+    /// Starts an attempt at the chosen target, after taking the claim if the run needs one.
     fn start_attempt(
         &mut self,
         cx: &mut Context,
@@ -206,7 +210,7 @@
         run.counted_attempts += 1;
         run.answer.restart();
         run.attempt_started(cx.now, target.clone());
-        // A later attempt sends the answer from its start, to the offset that callers allow.
+        // A retry sends its answer from offset 0, with credit up to the offset that callers allow.
         let granted_offset = run.consumed() + WINDOW_BYTES;
         for message in dispatch_messages(cx, run, attempt, incarnation, granted_offset) {
             let target = target.clone();
@@ -225,12 +229,12 @@
         self.start_reconnect_timer(cx, id);
     }
 
-    /// Ends the attempt in progress and forgets it; its late messages are dropped from now on.
+    /// Ends the current attempt; its late messages are ignored from now on.
     pub(crate) fn end_attempt(&mut self, cx: &mut Context, id: RequestId, end: AttemptEnd) {
         self.end_attempt_with_usage(cx, id, end, Usage::default());
     }
 
-    /// As `end_attempt`, with the tokens that the attempt used.
+    /// Ends the current attempt, and reports its result and token usage to the router.
     pub(crate) fn end_attempt_with_usage(
         &mut self,
         cx: &mut Context,
@@ -260,9 +264,9 @@
         self.is_dispatch_due = true;
     }
 
-    /// Ends the attempt in progress and tells the agent that its answer is not wanted.
+    /// Ends the current attempt, and tells the agent to cancel it if it is idempotent.
     pub(crate) fn cancel_attempt(&mut self, cx: &mut Context, id: RequestId, end: AttemptEnd) {
-        // Work that must not be repeated is never cancelled: its answer is kept for resends.
+        // Non-idempotent work is never cancelled, because its answer is retained for resends.
         if let Some(run) = self.runs.get(&id).filter(|run| run.idempotent)
             && let Some(attempt) = &run.attempt
         {
@@ -276,15 +280,16 @@
         self.end_attempt(cx, id, end);
     }
 
-    /// Sends a run again whose dispatch was lost. No target has done anything for it, so it does
-    /// not use the retry budget.
+    /// Queues a run again whose dispatch was lost with its connection. No target has worked on it,
+    /// so it does not spend the retry budget.
     pub(crate) fn redispatch(&mut self, cx: &mut Context, id: RequestId) {
         if !self.forget_if_orphaned(cx, id) {
             self.enqueue(cx, id);
         }
     }
 
-    /// Tries a run again that is proved not to have run, or may run twice.
+    /// Queues a run again if the retry budget allows it. The run is idempotent or known not to have
+    /// been executed.
     pub(crate) fn retry(&mut self, cx: &mut Context, id: RequestId) {
         if self.forget_if_orphaned(cx, id) {
             return;
@@ -304,7 +309,7 @@
         self.set_timer(cx.now + BUDGET_POLL_MS, Timer::RetryBudget);
     }
 
-    /// Forgets a run without callers; tells whether it did.
+    /// Removes a run that has no callers left. Returns whether it did.
     fn forget_if_orphaned(&mut self, cx: &Context, id: RequestId) -> bool {
         let is_orphaned = self.runs.get(&id).is_some_and(|run| run.waiters.is_empty());
         if is_orphaned {
--- a/components/request/src/event.rs
+++ b/components/request/src/event.rs
@@ -1,4 +1,4 @@
-//! What the state machine of requests is told.
+//! Events that the entry reports to the request state machine.
 
 use std::rc::Rc;
 
@@ -14,85 +14,85 @@
 use types::TargetName;
 use wire::ToEntry;
 
-/// What a request is bound to when it is accepted.
+/// Service configuration that applies to a request from its acceptance to its end.
 #[derive(Debug, Clone)]
 pub struct Terms {
-    /// Profile of the service at that moment.
+    /// Profile of the service at acceptance.
     pub profile: Rc<Profile>,
-    /// Head revision at that moment.
+    /// Latest configuration revision at acceptance.
     pub revision: Revision,
-    /// What stands behind the service.
+    /// Whether the service is backed by engines or is a plain one.
     pub kind: ServiceKind,
 }
 
-/// One event.
+/// Event reported by the entry.
 #[derive(Debug)]
 pub enum Event {
     /// A caller's request arrived.
     Submitted {
-        /// Id given by the entry.
+        /// Id assigned by the entry.
         request: RequestId,
-        /// The request.
+        /// Content, caller and idempotency key.
         submission: Submission,
-        /// What it is bound to.
+        /// Configuration that applies to the request.
         terms: Terms,
     },
-    /// The caller hung up.
+    /// The caller disconnected.
     CallerGone {
-        /// Request concerned.
+        /// Request of the caller.
         request: RequestId,
     },
-    /// The caller's socket took bytes of the answer.
+    /// Bytes of the answer were written to the caller's socket.
     Consumed {
-        /// Request concerned.
+        /// Request that is being answered.
         request: RequestId,
-        /// Bytes taken.
+        /// Number of bytes since the last event.
         bytes: u64,
     },
-    /// A message came from an agent.
+    /// An agent sent a message.
     Agent {
         /// Target of the agent.
         target: TargetName,
-        /// Run of the agent.
+        /// Incarnation of the agent.
         incarnation: Incarnation,
-        /// The message.
+        /// Message received.
         message: ToEntry,
     },
-    /// A connection to an agent can be used.
+    /// A connection to an agent was established.
     ConnectionUp {
         /// Target of the agent.
         target: TargetName,
-        /// Run of the agent.
+        /// Incarnation of the agent.
         incarnation: Incarnation,
     },
-    /// The connection to an agent broke or went silent; a new one is being opened.
+    /// The connection to an agent broke or timed out; the entry is reconnecting.
     ConnectionDown {
         /// Target of the agent.
         target: TargetName,
     },
-    /// That run of the agent has ended; nothing it knew can be had.
+    /// The process of this incarnation has ended, and the state that it held is lost.
     IncarnationGone {
         /// Target of the agent.
         target: TargetName,
-        /// Run of the agent.
+        /// Incarnation of the agent.
         incarnation: Incarnation,
     },
-    /// A call to the table ended.
+    /// A call to the table returned or failed.
     TableDone {
         /// Number from `Action::Table`.
         operation: u64,
-        /// Its end.
+        /// Reply of the store, or why there is none.
         result: Result<TableReply, StoreError>,
     },
-    /// A call to the object store ended.
+    /// A call to the object store returned or failed.
     ObjectDone {
         /// Number from `Action::Object`.
         operation: u64,
-        /// Its end.
+        /// Reply of the store, or why there is none.
         result: Result<ObjectReply, StoreError>,
     },
-    /// The process is stopping: new requests are refused, and those in flight finish.
+    /// The entry is shutting down: new requests are refused, and those in flight finish.
     Leaving,
-    /// Time passed.
+    /// The time of `Requests::next_tick` has come.
     Tick,
 }
--- a/components/request/src/finish.rs
+++ b/components/request/src/finish.rs
@@ -1,4 +1,4 @@
-//! Ends: failed attempts, deadlines, hang-ups and final answers.
+//! Ends of attempts and requests: failures, deadlines, disconnected callers and complete answers.
 
 use std::time::Instant;
 
@@ -26,7 +26,7 @@
 use crate::run::Waiter;
 
 impl Requests {
-    /// The attempt was not run and will not be.
+    /// Handles an attempt that was not executed and will not be.
     pub(crate) fn attempt_rejected(
         &mut self,
         cx: &mut Context,
@@ -37,7 +37,7 @@
         let Some(run) = self.runs.get(&id) else {
             return;
         };
-        // Another entry may have taken the claim over; then its attempt is the one to follow.
+        // Another entry may have taken over the claim; the run then follows that entry's attempt.
         if run.claim.as_ref().is_some_and(|claim| claim.has_key)
             && reason == Some(Rejection::Forbidden)
             && !run.waiters.is_empty()
@@ -57,7 +57,7 @@
         self.retry_or_refuse(cx, id, &no_target_accepted());
     }
 
-    /// Tries a run again if it has an attempt left; else refuses it.
+    /// Retries a run if it has an attempt left, and refuses it otherwise.
     fn retry_or_refuse(&mut self, cx: &mut Context, id: RequestId, refusal: &RefusalCause) {
         let run = self.runs.get(&id);
         if run.is_some_and(|run| run.counted_attempts < run.terms.profile.attempt_limit) {
@@ -67,7 +67,7 @@
         self.refuse(cx, id, refusal);
     }
 
-    /// The attempt failed and may have run.
+    /// Handles an attempt that failed and may have been executed.
     pub(crate) fn attempt_failed(&mut self, cx: &mut Context, id: RequestId, detail: &str) {
         self.end_attempt(cx, id, AttemptEnd::Failed);
         self.after_failure(cx, id, detail);
@@ -85,19 +85,19 @@
         self.retry_or_refuse(cx, id, &refusal);
     }
 
-    /// The attempt's answer is not the one that callers already have a part of.
+    /// Handles an attempt whose answer differs from the part that callers already have.
     pub(crate) fn answer_mismatched(&mut self, cx: &mut Context, id: RequestId) {
         self.cancel_attempt(cx, id, AttemptEnd::Failed);
         if self.runs.get(&id).is_some_and(|run| !run.idempotent) {
             self.refuse_unknown(cx, id, &outcome_unknown());
             return;
         }
-        let detail = "the answer broke off and another attempt gave a different one";
+        let detail = "the answer was interrupted and a later attempt returned a different one";
         let refusal = RefusalCause::new(RefusalReason::TargetFailed, Some(RETRY_MS), detail);
         self.refuse(cx, id, &refusal);
     }
 
-    /// A caller's time is up.
+    /// Refuses a caller whose deadline has passed.
     pub(crate) fn deadline_passed(&mut self, cx: &mut Context, request: RequestId) {
         let Some(&id) = self.runs_by_caller.get(&request) else {
             return;
@@ -129,8 +129,8 @@
         self.queues.get_mut(&key)
     }
 
-    /// Gives up a run that no caller waits for, unless it must not be repeated and may run:
-    /// then its answer is kept for a resend.
+    /// Ends a run that no caller waits for. A non-idempotent run with an attempt in progress
+    /// continues, because its answer is retained for a resend.
     fn drop_if_orphaned(&mut self, cx: &mut Context, id: RequestId) {
         let Some(run) = self.runs.get(&id) else {
             return;
@@ -149,7 +149,7 @@
         self.remove_run(cx.now, id, state);
     }
 
-    /// Gives up a run that nobody has waited for since its deadline.
+    /// Ends a run that still has no callers when its orphan time-out expires.
     pub(crate) fn orphan_timed_out(&mut self, cx: &mut Context, id: RequestId) {
         if self.runs.get(&id).is_some_and(|run| run.waiters.is_empty()) {
             self.end_attempt(cx, id, AttemptEnd::Failed);
@@ -157,13 +157,13 @@
         }
     }
 
-    /// The whole answer has been relayed.
+    /// Ends a run whose complete answer has been relayed.
     pub(crate) fn answered(&mut self, cx: &mut Context, id: RequestId, usage: Usage) {
         self.settle_answered(cx, id, usage);
         self.remove_run(cx.now, id, ClaimState::Done);
     }
 
-    /// Gives every caller of a run the end of its answer.
+    /// Sends the end of the answer to every caller of a run.
     pub(crate) fn settle_answered(&mut self, cx: &mut Context, id: RequestId, usage: Usage) {
         for request in self.waiters_of(id) {
             let Some(waiter) = self.take_waiter(id, request) else {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Refuses all callers of a run and forgets it.
+    /// Refuses all callers of a run and removes it.
     pub(crate) fn refuse(&mut self, cx: &mut Context, id: RequestId, cause: &RefusalCause) {
         let state = self.run_state(id);
         for request in self.waiters_of(id) {
@@ -209,7 +209,7 @@
         self.settle(cx, id, &waiter, outcome, Usage::default());
     }
 
-    /// What may be said to one caller that leaves: the run goes on for the others.
+    /// Run state to report to a caller that leaves while the run may continue for others.
     fn run_state_without_caller(&self, id: RequestId) -> RunState {
         match self.runs.get(&id) {
             Some(run) if run.waiters.len() > 1 => RunState::Unknown,
@@ -217,7 +217,7 @@
         }
     }
 
-    /// What may be said of a run now.
+    /// Run state to report if the run ended now.
     fn run_state(&self, id: RequestId) -> RunState {
         self.runs
             .get(&id)
@@ -264,8 +264,8 @@
         cx.actions.push(Action::Settled { request, summary });
     }
 
-    /// Removes a run and everything that is held for it. Its claim gets a new state; `Taken`
-    /// leaves it as it is.
+    /// Removes a run and everything that refers to it, and records `claim` as the state of its
+    /// claim. `Taken` leaves the claim unchanged.
     pub(crate) fn remove_run(&mut self, now: Instant, id: RequestId, claim: ClaimState) {
         let Some(run) = self.runs.remove(&id) else {
             return;
@@ -289,18 +289,19 @@
     }
 }
 
-/// Every attempt was rejected.
+/// Refusal of a request whose attempts were all rejected.
 pub(crate) fn no_target_accepted() -> RefusalCause<'static> {
-    let detail = "no target took the request";
+    let detail = "every target that was tried rejected the request";
     RefusalCause::new(RefusalReason::TargetFailed, Some(RETRY_MS), detail)
 }
 
-/// Whether a rejected attempt uses up one of the attempts of its request.
+/// Whether a rejected attempt counts against the attempt limit of its request.
 ///
-/// A target that is leaving, away or full says so in the load report that comes with the
-/// rejection, so the router does not choose it again and the request can wait for another one.
-/// After `Forbidden` the dispatch was lost with its connection. The other reasons tell the router
-/// nothing, and without a limit the same target would be tried until the deadline.
+/// A target that is leaving, away, overloaded or without the model says so in the load report that
+/// comes with the rejection, so the router does not choose it again and the request can wait for
+/// another target. `Forbidden` means that the dispatch was lost with its connection. The other
+/// reasons give the router no information, and without a limit the same target would be tried until
+/// the deadline.
 fn counts_as_attempt(reason: Option<Rejection>) -> bool {
     !matches!(
         reason,
--- a/components/request/src/hang_ups.rs
+++ b/components/request/src/hang_ups.rs
@@ -1,29 +1,29 @@
-//! How long callers wait before they hang up, learned from those that did.
+//! Estimates how long callers wait before they hang up, from observed hang-ups.
 //!
-//! Work for a caller that hangs up is lost, and a careless caller sends it again. So a request that
-//! would be answered later than its callers usually wait is better refused at once.
+//! Work for a caller that hangs up is wasted, and some callers then send the request again. A
+//! request that would be answered later than callers usually wait is therefore refused at once.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time after which what was learned has faded to a third, so that a change in how callers behave
-/// is noticed although nothing is answered late enough to contradict the limit.
+/// Time constant of the exponential decay of observations. A limit has to expire by itself: while
+/// it is in force, no answer is late enough to show that callers wait longer now.
 const DECAY_S: f64 = 60.0;
-/// Weight of a new sample in the mean time until a caller hangs up.
+/// Weight of a new sample in the mean time to a hang-up.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Hang-ups that have to be remembered before they count.
+/// Minimum decayed number of hang-ups for an estimate.
 const MIN_HANG_UPS: f64 = 8.0;
 
-/// Shortest limit that is acted on. Callers with less patience ask short questions, whose work is
-/// small: refusing them saves little, and estimates are too coarse for it. In `resends` at El
-/// Bolsón it lowered the share of desk questions answered from 0.74 to 0.50 (seeds 1 and 2).
+/// Shortest limit that requests are refused by. Callers that hang up earlier send small requests,
+/// so refusing them saves little work and the estimates are too coarse: the share of such requests
+/// that were answered fell from 0.74 to 0.50 when they were refused.
 const MIN_WAIT_LIMIT_S: f64 = 10.0;
 
-/// Part of the mean that an answer may take. Estimates err; with the whole of it `resends` at 120%
-/// load did less work in time (0.648 against 0.671 of the bound at El Bolsón).
+/// Fraction of the mean time to a hang-up that an answer may take, to allow for estimation errors.
+/// With 1.0, less work finished in time at 120% load (0.648 instead of 0.671 of the upper bound).
 const SAFETY_FACTOR: f64 = 0.8;
 
-/// Hang-ups of the callers of one profile.
+/// Hang-up statistics for the callers of one profile.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HangUpTracker {
     mean_s: f64,
@@ -33,7 +33,7 @@
 }
 
 impl HangUpTracker {
-    /// A caller hung up this long after its request was accepted.
+    /// Records a caller that hung up at the time `after` its request was accepted.
     pub fn hung_up(&mut self, now: Instant, after: Duration) {
         let after_s = after.as_secs_f64();
         if self.hang_ups == 0.0 {
@@ -44,7 +44,7 @@
         self.hang_ups += 1.0;
     }
 
-    /// A caller got its answer this long after its request was accepted.
+    /// Records a caller that received its answer at the time `after` its request was accepted.
     pub fn answered(&mut self, now: Instant, after: Duration) {
         if self.hang_ups > 0.0 && after.as_secs_f64() > self.mean_s {
             self.decay(now);
@@ -52,14 +52,15 @@
         }
     }
 
-    /// Time by which answers are wanted, somewhat before most callers hang up; `None` if that is not known or most wait on.
+    /// Time in which a request should be answered, somewhat before most callers hang up. `None` if
+    /// there are too few hang-ups, if most callers wait longer, or if it is too short to refuse by.
     #[must_use]
     pub fn wait_limit(&mut self, now: Instant) -> Option<Duration> {
         self.estimate(now)
             .filter(|_| self.mean_s >= MIN_WAIT_LIMIT_S)
     }
 
-    /// The same for limits that are too short to refuse by. Roles are planned with them.
+    /// The same for limits that are too short to refuse by. Planning of target roles uses them.
     #[must_use]
     pub fn short_wait_limit(&mut self, now: Instant) -> Option<Duration> {
         self.estimate(now)
--- a/components/request/src/lib.rs
+++ b/components/request/src/lib.rs
@@ -1,6 +1,8 @@
-//! Life of a request: admission, claims, attempts and the assembly of its answer.
+//! Request lifecycle at an entry: admission, idempotency claims, dispatch, retries and the assembly
+//! of answers.
 //!
-//! A state machine without I/O. The entry feeds it events and carries out its actions.
+//! The crate is a state machine without I/O. The entry passes in events and carries out the actions
+//! that each event returns.
 
 pub mod action;
 pub mod answer;
--- a/components/request/src/objects.rs
+++ b/components/request/src/objects.rs
@@ -1,8 +1,8 @@
-//! Large answers in the object store: storing them, and reading them for resends.
+//! Stores large answers in the object store, and reads them for resends.
 //!
-//! An answer is stored before its claim row says `done`, so a row that names an object names one
-//! that was stored. Until the row is written, resends at this entry are answered from memory and
-//! resends at others by the agent, which keeps the answer as well.
+//! An answer is stored before its claim row becomes `done`, so a row never refers to an object that
+//! was not stored. Until the row is written, this entry answers resends from memory, and other
+//! entries get the answer from the agent, which retains it as well.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -27,23 +27,23 @@
 use crate::retained::RetainedBody;
 use crate::run::Phase;
 
-/// Time for the object store to give an answer to a resend: 1 MiB at 2 Mbit/s.
+/// Time-out for reading a stored answer: 1 MiB at 2 Mbit/s.
 const FETCH_TIMEOUT_MS: Duration = Duration::from_secs(5);
-/// Answers stored at once. One entry must not fill the store's several hundred writes a second
-/// when it catches up after an outage.
+/// Maximum number of concurrent writes and deletions. One entry must not use up the store's several
+/// hundred writes a second while it catches up after an outage.
 const PUT_LIMIT: usize = 4;
-/// Answers read at once; their copies are at most 8 MiB of memory.
+/// Maximum number of concurrent reads, which bounds their memory to 8 MiB.
 const GET_LIMIT: usize = 8;
-/// Pause after a call that failed; doubles up to `MAX_BACKOFF_MS`.
+/// Backoff after the first failed write; doubles up to `MAX_BACKOFF_MS`.
 const MIN_BACKOFF_MS: Duration = Duration::from_millis(500);
-/// Longest pause.
+/// Maximum backoff.
 const MAX_BACKOFF_MS: Duration = Duration::from_secs(8);
 
-/// An answer to be stored, and the write that names it afterwards.
+/// An answer to be stored, and the claim write that refers to it afterwards.
 pub(crate) struct PendingPut {
     pub write: Write,
     pub body: Rc<RetainedBody>,
-    /// Time at which the claim may have expired, and storing it is given up.
+    /// Time from which the claim may have expired; storing is not retried after it.
     pub retry_until: Instant,
 }
 
@@ -53,7 +53,7 @@
     Delete(String),
 }
 
-/// Calls to the object store that wait or are under way.
+/// Calls to the object store that are pending or in flight.
 #[derive(Default)]
 pub(crate) struct Objects {
     puts: VecDeque<PendingPut>,
@@ -61,17 +61,17 @@
     deletes: VecDeque<String>,
     in_flight: BTreeMap<u64, Call>,
     backoff_ms: Duration,
-    /// No write is tried before this time.
+    /// No write or deletion is sent before this time.
     backoff_until: Option<Instant>,
 }
 
 impl Objects {
-    /// Stores an answer as soon as possible.
+    /// Queues an answer to be stored.
     pub fn queue_put(&mut self, pending: PendingPut) {
         self.puts.push_back(pending);
     }
 
-    /// Deletes an object that no claim names.
+    /// Queues the deletion of an object that no claim refers to.
     pub fn queue_delete(&mut self, key: String) {
         self.deletes.push_back(key);
     }
@@ -95,11 +95,11 @@
         Some((Call::Delete(key.clone()), ObjectRequest::Delete { key }))
     }
 
-    /// A write failed. Returns when writes go on.
+    /// Backs off after a failed write. Returns the time at which writes resume.
     fn back_off(&mut self, now: Instant, jitter: u128) -> Instant {
         let backoff_ms = (self.backoff_ms * 2).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
         self.backoff_ms = backoff_ms;
-        // Entries that meet the same outage must not come back in step.
+        // Jitter keeps entries from retrying at the same time after a common outage.
         let jitter_share = (jitter % 512) as u32;
         let until = now + backoff_ms / 2 + backoff_ms * jitter_share / 1_024;
         self.backoff_until = Some(until);
@@ -125,7 +125,7 @@
         self.set_timer(due, Timer::StoreTimeout(id));
     }
 
-    /// Makes the calls that are due.
+    /// Sends the calls that are due.
     pub(crate) fn flush_objects(&mut self, cx: &mut Context) {
         while let Some((call, request)) = self.objects.next_write_call(cx.now) {
             self.start_object_call(cx, call, request);
@@ -136,7 +136,7 @@
             < GET_LIMIT
             && let Some(id) = self.objects.gets.pop_front()
         {
-            // A run that waited too long for its turn has been refused.
+            // The run may have been refused while its read was pending.
             if let Some(key) = self.fetching_object(id).map(|object| object.key.clone()) {
                 self.start_object_call(cx, Call::Get(id), ObjectRequest::Get { key });
             }
@@ -187,7 +187,7 @@
                 self.objects.backoff_ms = Duration::ZERO;
                 self.push_write(cx.now, pending.write);
             }
-            // The store refuses this object for good.
+            // The store rejects this object permanently.
             Ok(_) | Err(StoreError::Malformed(_)) => self.drop_answer(cx.now, pending.write),
             Err(_) if cx.now >= pending.retry_until => self.drop_answer(cx.now, pending.write),
             Err(_) => {
@@ -222,7 +222,7 @@
     }
 }
 
-/// The object store gives no answer now, or not the whole one.
+/// Refusal while the stored answer cannot be read, or not completely.
 pub(crate) fn answer_unavailable() -> RefusalCause<'static> {
     RefusalCause::new(
         RefusalReason::StoreUnavailable,
@@ -232,7 +232,7 @@
     )
 }
 
-/// The claim has expired, or the object was removed by someone else.
+/// Refusal after the stored answer was deleted, by expiry of its claim or from outside.
 fn answer_deleted() -> RefusalCause<'static> {
     RefusalCause::new(
         RefusalReason::OutcomeUnknown,
--- a/components/request/src/outcomes.rs
+++ b/components/request/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of claimed runs: written in the background, and given to resends.
+//! Outcomes of claimed runs: recording them in the background, and answering resends with them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -34,23 +34,23 @@
 use crate::retained::RetainedBody;
 use crate::run::Run;
 
-/// Time after which an outcome that could not be written is written again.
+/// Delay before an outcome that could not be written is retried.
 const OUTCOME_RETRY_MS: Duration = Duration::from_secs(1);
 
-/// Outcome that the table may not have yet.
+/// Outcome that may not be in the table yet.
 pub(crate) struct UnwrittenOutcome {
     row: ClaimRow,
-    /// Body of an answer that goes to the object store.
+    /// Body of an answer that is stored in the object store.
     body: Option<Rc<RetainedBody>>,
 }
 
 impl Requests {
-    /// Notes how a claimed run ended, and writes it in the background.
+    /// Records how a claimed run ended; the write completes in the background.
     pub(crate) fn record_outcome(&mut self, now: Instant, run: &Run, state: ClaimState) {
         let Some(claim) = &run.claim else {
             return;
         };
-        // Nobody can ask for the outcome of a run under a random key.
+        // No resend can find a run that has a generated key.
         let Some(current_row) = claim.current_row.as_ref().filter(|_| claim.has_key) else {
             return;
         };
@@ -69,7 +69,7 @@
         self.queue_outcome_write(now, key, claim.version, row);
     }
 
-    /// Stores an answer in the object store. The row names it only after that.
+    /// Queues an answer for the object store. Its row is written after the object.
     fn store_large_answer(
         &mut self,
         key: String,
@@ -114,19 +114,19 @@
             key,
             version,
             row,
-            epochs_kept: 0,
+            retention_epochs: 0,
             purpose: Purpose::RecordOutcome,
         }
     }
 
-    /// The answer cannot be stored; the row says only that the request ran.
+    /// Records an outcome without its answer, which could not be stored.
     pub(crate) fn drop_answer(&mut self, now: Instant, write: Write) {
         let mut row = write.row;
         row.object = None;
         self.queue_outcome_write(now, write.key, write.version, row);
     }
 
-    /// A claim was committed after its run had ended: it was not dispatched.
+    /// Releases a claim that was committed after its run had ended without a dispatch.
     pub(crate) fn release_claim(&mut self, now: Instant, write: Write, version: RowVersion) {
         let mut row = write.row;
         row.state = ClaimState::Released;
@@ -141,7 +141,7 @@
                 self.set_timer(cx.now + OUTCOME_RETRY_MS, Timer::OutcomeRetry);
             }
             WriteEnd::Changed(None) => {
-                // The claim has expired and was deleted, so no deletion finds the object.
+                // The claim has expired and was deleted, so the sweep will not find its object.
                 self.delete_object_of(&write);
                 self.outcome_written(&write);
             }
@@ -152,8 +152,8 @@
     fn resolve_outcome_conflict(&mut self, cx: &mut Context, write: Write, row: &Row) {
         if let Ok(found) = serde_json::from_str::<ClaimRow>(&row.value) {
             let same = found.attempt_id() == write.row.attempt_id();
-            // Another entry gave the outcome up as lost, is still asking for it, or had no room
-            // for the answer.
+            // Another entry recorded the outcome as unknown, is still querying the agent, or
+            // could not retain the answer.
             let supersedes =
                 found.state != ClaimState::Done || (write.row.has_answer() && !found.has_answer());
             if write.row.state == ClaimState::Done && same && supersedes {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Writes again what could not be written.
+    /// Retries the outcome writes that failed.
     pub(crate) fn retry_outcomes(&mut self, now: Instant) {
         for write in std::mem::take(&mut self.outcomes_to_retry) {
             self.push_write(now, write);
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Answers a resend from an outcome that is not written yet. Returns whether it did.
+    /// Answers a resend from an outcome that may not be in the table yet. Returns whether it did.
     pub(crate) fn answer_from_memory(
         &mut self,
         cx: &mut Context,
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Answers all callers of a run from a claim that is done.
+    /// Answers all callers of a run from a claim row in state `Done`.
     pub(crate) fn answer_from_store(&mut self, cx: &mut Context, id: RequestId, row: &ClaimRow) {
         match (&row.answer, &row.object) {
             (Some(stored), _) => self.answer_as_stored(cx, id, stored),
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Gives all callers of a run an answer that was stored whole.
+    /// Sends a stored answer to all callers of a run.
     pub(crate) fn answer_as_stored(
         &mut self,
         cx: &mut Context,
@@ -259,7 +259,7 @@
         self.remove_run(cx.now, id, ClaimState::Taken);
     }
 
-    /// Ends a run whose request may have run, as far as its claim tells.
+    /// Refuses a run that, according to its claim, may have been executed.
     pub(crate) fn refuse_unknown(&mut self, cx: &mut Context, id: RequestId, cause: &RefusalCause) {
         if let Some(run) = self.runs.get_mut(&id) {
             run.may_have_executed = true;
@@ -268,7 +268,7 @@
     }
 }
 
-/// Answer that fits into the row.
+/// Answer to store in the row, if it is small enough.
 fn row_answer(run: &Run) -> Option<StoredAnswer> {
     let head = run.answer.head()?;
     let body = run.answer.retained()?;
@@ -281,7 +281,7 @@
     })
 }
 
-/// Answer that is too large for the row.
+/// Answer to store in the object store, if it is too large for the row.
 fn object_answer(run: &Run, key: String) -> Option<(StoredObject, Rc<RetainedBody>)> {
     let head = run.answer.head()?;
     let kept = run.answer.share_retained()?;
@@ -338,7 +338,7 @@
     )
 }
 
-/// Outcome of replies that were given at once.
+/// The refusal among `replies`, if there is one.
 pub(crate) fn refusal_in(replies: &[Reply]) -> Option<&Refusal> {
     replies.iter().find_map(|reply| match reply {
         Reply::Refused(refusal) => Some(refusal),
--- a/components/request/src/queue.rs
+++ b/components/request/src/queue.rs
@@ -1,4 +1,4 @@
-//! Bounded queue of one profile: priority, then earliest deadline; waiting raises the priority.
+//! Admission queue of one profile, ordered by priority and then deadline, with priority aging.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -10,11 +10,12 @@
 use crate::hang_ups::HangUpTracker;
 use crate::wait_estimate::WaitEstimator;
 
-/// Waiting this long raises the priority by one, so that long reads are not starved. A request
-/// of the lowest priority (9) reaches the highest one within the default deadline of 30 s.
+/// Waiting time that raises the priority of a request by one level, so that long reads are not
+/// starved. A request of the lowest priority (9) reaches the highest (0) within the default
+/// deadline of 30 s.
 const AGING_INTERVAL_MS: Duration = Duration::from_secs(3);
-/// Shortest time between two looks at whether those that wait can still be answered in time.
-/// The estimate hardly changes faster, and each look reads the whole queue.
+/// Minimum time between two searches for overdue requests. The estimate hardly changes faster, and
+/// each search reads the whole queue.
 const OVERDUE_CHECK_INTERVAL_MS: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone, Copy)]
@@ -24,48 +25,48 @@
     promote_at: Instant,
 }
 
-/// Requests of one profile that wait for a target.
+/// Requests of one profile that are waiting for a target.
 #[derive(Debug, Default)]
 pub struct Queue {
     order: BTreeSet<(u8, Instant, RequestId)>,
     promotions: BTreeSet<(Instant, RequestId)>,
     positions: HashMap<RequestId, Position>,
     wait_estimator: WaitEstimator,
-    /// How long the callers wait.
+    /// How long callers of the profile wait before they hang up.
     pub patience: HangUpTracker,
     has_dispatched: bool,
     overdue_checked_at: Option<Instant>,
 }
 
-/// A request that waits and cannot be answered by its deadline.
+/// Queued request that is not expected to be answered by its deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Overdue {
-    /// Which one.
+    /// Id of the request.
     pub request: RequestId,
-    /// Time by which its estimated finish is past its deadline.
-    pub excess_ms: Duration,
+    /// Time from its deadline to its estimated finish.
+    pub lateness_ms: Duration,
 }
 
 impl Queue {
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
 
-    /// Whether nothing is lost when the queue is dropped.
+    /// Whether the queue holds neither requests nor statistics of earlier ones.
     #[must_use]
     pub fn is_droppable(&self) -> bool {
         self.is_empty() && !self.has_dispatched
     }
 
-    /// Adds a request. `waiting_since` is earlier than `now` if it was queued before.
+    /// Adds a request. `waiting_since` is earlier than `now` if the request was queued before.
     pub fn push(
         &mut self,
         now: Instant,
@@ -95,7 +96,7 @@
         self.positions.insert(request, position);
     }
 
-    /// Removes a request that goes to no target, wherever it stands.
+    /// Removes a request without a dispatch. Returns whether it was queued.
     pub fn remove(&mut self, now: Instant, request: RequestId) -> bool {
         let was_queued = self.take(request);
         if was_queued && self.is_empty() {
@@ -114,13 +115,13 @@
         true
     }
 
-    /// The request to serve next, with its level.
+    /// The request to serve next, with its effective priority and its deadline.
     pub fn first(&mut self, now: Instant) -> Option<(u8, Instant, RequestId)> {
         self.promote(now);
         self.order.first().copied()
     }
 
-    /// A request left the queue for a target, which is expected to answer after `finish_ms`.
+    /// Removes a request that is dispatched and expected to be answered after `finish_ms`.
     pub fn depart(&mut self, now: Instant, request: RequestId, finish_ms: Duration) {
         if !self.take(request) {
             return;
@@ -130,20 +131,20 @@
         self.wait_estimator.record_service_time(finish_ms);
     }
 
-    /// The router found that no target could finish a request that was first in the queue; the
-    /// fastest one would have taken this long.
+    /// Records that no target could finish the first request in time; the fastest one would have
+    /// taken `finish_ms`.
     pub fn infeasible(&mut self, finish_ms: Duration) {
         self.wait_estimator.record_service_time(finish_ms);
     }
 
-    /// Time by which the answer is wanted: the deadline, or earlier if callers do not wait as long.
+    /// Effective deadline, which is earlier than `deadline` if callers usually do not wait as long.
     #[must_use]
     pub fn wanted_by(&mut self, now: Instant, accepted: Instant, deadline: Instant) -> Instant {
         let limit = self.patience.wait_limit(now);
         limit.map_or(deadline, |limit| deadline.min(accepted + limit))
     }
 
-    /// Time until which the caller is expected to wait, if it is known to be short.
+    /// Time until which the caller is expected to wait, if that is too short to refuse by.
     #[must_use]
     pub fn waits_until(&mut self, now: Instant, accepted: Instant) -> Option<Instant> {
         self.patience
@@ -151,9 +152,9 @@
             .map(|limit| accepted + limit)
     }
 
-    /// Time by which the estimated finish of a request that joins now is past its deadline.
+    /// Time by which a request that is added now is expected to miss its deadline.
     ///
-    /// Nothing is estimated while the queue is empty, because the router knows more then.
+    /// `None` while the queue is empty, because the router has a better estimate then.
     #[must_use]
     pub fn excess(&mut self, now: Instant, priority: u8, deadline: Instant) -> Option<Duration> {
         if self.is_empty() {
@@ -171,8 +172,8 @@
         )
     }
 
-    /// Those that have become infeasible since they joined, in their order. Each is counted as
-    /// gone in the estimate of those behind it, so the caller has to remove all of them.
+    /// Requests that are expected to miss their deadline, in queue order. The estimate for each
+    /// request leaves out the overdue ones ahead of it, so the caller has to remove all of them.
     #[must_use]
     pub fn overdue(&mut self, now: Instant) -> Vec<Overdue> {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < OVERDUE_CHECK_INTERVAL_MS;
@@ -189,7 +190,10 @@
                 self.wait_estimator.time_to_answer(now, feasible),
                 deadline,
             ) {
-                Some(excess_ms) => overdue.push(Overdue { request, excess_ms }),
+                Some(lateness_ms) => overdue.push(Overdue {
+                    request,
+                    lateness_ms,
+                }),
                 None => feasible += 1,
             }
         }
--- a/components/request/src/refusal.rs
+++ b/components/request/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals with their run state, time to come back and one sentence for the developer.
+//! Refusals with their run state, retry delay and an explanation for the developer.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 use types::RefusalReason;
 use types::RunState;
 
-/// Time to come back after a fault that usually passes within seconds.
+/// Retry delay after a fault that usually lasts only seconds.
 pub(crate) const RETRY_MS: Duration = Duration::from_secs(1);
 
-/// Why a run ends without a whole answer. What is said about its execution is taken from the
-/// run itself, so that no refusal claims more than is known.
+/// Why a run ends without a complete answer. The run state of the refusal comes from the run
+/// itself, so that a refusal never says more about execution than is known.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RefusalCause<'a> {
     pub reason: RefusalReason,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A refusal of a request that was not run and will not be.
+/// Refusal of a request that was not executed and will not be.
 pub(crate) fn not_run(
     reason: RefusalReason,
     retry_after_ms: Option<Duration>,
--- a/components/request/src/relay.rs
+++ b/components/request/src/relay.rs
@@ -1,4 +1,4 @@
-//! Messages of agents about attempts, and the relay of answers to callers.
+//! Handles agent messages about attempts, and relays answers to callers under flow control.
 
 use types::AttemptId;
 use types::Incarnation;
@@ -20,7 +20,7 @@
 use crate::requests::Requests;
 use crate::run::Waiter;
 
-/// Credit is granted in steps of at least this, so that it costs few frames.
+/// Minimum credit per grant, which limits the number of credit frames.
 const MIN_CREDIT_BYTES: u64 = WINDOW_BYTES / 4;
 
 impl Requests {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Run of an attempt in progress at that run of the target.
+    /// Id of the run whose current attempt is this one, at this incarnation of the target.
     fn run_of(
         &self,
         attempt: AttemptId,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Gives a caller that joined what the others already have.
+    /// Sends a caller that joined a run the part of the answer that was already received.
     pub(crate) fn replay_to(&mut self, cx: &mut Context, id: RequestId, request: RequestId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A caller's socket took bytes.
+    /// Handles bytes of the answer that were written to a caller's socket.
     pub(crate) fn consumed(&mut self, cx: &mut Context, request: RequestId, bytes: u64) {
         let Some(&id) = self.runs_by_caller.get(&request) else {
             return;
@@ -166,7 +166,7 @@
         self.grant_credit(cx, id);
     }
 
-    /// Lets the agent send as much as callers have taken.
+    /// Grants the agent credit for the bytes that all callers have consumed.
     pub(crate) fn grant_credit(&mut self, cx: &mut Context, id: RequestId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -191,7 +191,7 @@
         });
     }
 
-    /// Asks the agent once for what is missing at the offset held.
+    /// Asks the agent to resume after a gap, once for each offset.
     fn request_resume(&mut self, cx: &mut Context, id: RequestId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -206,7 +206,7 @@
         self.send_resume(cx, id);
     }
 
-    /// Asks the agent to send on this connection from the offset held.
+    /// Asks the agent to send the answer from the received offset on, over the current connection.
     pub(crate) fn send_resume(&mut self, cx: &mut Context, id: RequestId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -258,7 +258,7 @@
     cx.actions.push(Action::Reply { request, reply });
 }
 
-/// Attempt that a message is about.
+/// Attempt that the message belongs to, if any.
 fn attempt_of(message: &ToEntry) -> Option<AttemptId> {
     match message {
         ToEntry::Accepted { attempt }
--- a/components/request/src/replay.rs
+++ b/components/request/src/replay.rs
@@ -1,7 +1,7 @@
-//! Large answers on their way to callers that sent a request again.
+//! Memory limit for large answers that are replayed to resends.
 //!
-//! They are handed over whole, outside the flow control between agent and caller, so their
-//! memory is limited here.
+//! Such answers are passed on in one piece, outside the flow control between agent and caller, so
+//! their memory is limited here.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
     _reservation: Reservation,
 }
 
-/// What callers have not taken yet.
+/// Replayed answers that callers have not consumed yet.
 pub(crate) struct ReplayLimiter {
     budget: MemoryBudget,
     unconsumed: BTreeMap<RequestId, Unconsumed>,
@@ -36,7 +36,8 @@
 }
 
 impl ReplayLimiter {
-    /// Notes an answer that is about to be handed over. Returns false if there is no room.
+    /// Reserves memory for an answer that is about to be replayed. Returns false if the limit would
+    /// be exceeded. Answers that fit into a claim row need no reservation.
     pub fn reserve(&mut self, request: RequestId, length: usize) -> bool {
         if length <= ROW_ANSWER_LIMIT_BYTES {
             return true;
@@ -53,7 +54,7 @@
         true
     }
 
-    /// The caller took bytes.
+    /// Records that bytes were written to the caller's socket.
     pub fn consumed(&mut self, request: RequestId, bytes: u64) {
         if let Some(unconsumed) = self.unconsumed.get_mut(&request) {
             unconsumed.bytes = unconsumed.bytes.saturating_sub(bytes);
@@ -63,18 +64,18 @@
         }
     }
 
-    /// The caller hung up, or gets nothing.
+    /// Releases the memory after the caller disconnected or was refused.
     pub fn release(&mut self, request: RequestId) {
         self.unconsumed.remove(&request);
     }
 }
 
-/// There is no room to hand over another large answer.
+/// Refusal while the limit leaves no memory for another large answer.
 pub(crate) fn replay_limit_reached() -> RefusalCause<'static> {
     RefusalCause::new(
         RefusalReason::Overloaded,
         Some(RETRY_MS),
-        "an earlier submission with this key runs or ran, and this entry has no room to send \
-         another large answer; send the request again with the same key",
+        "an earlier submission with this key is running or has run, and this entry has no memory \
+         left to send another large answer; send the request again with the same key",
     )
 }
--- a/components/request/src/requests.rs
+++ b/components/request/src/requests.rs
@@ -1,4 +1,4 @@
-//! The state machine: its state, its events and its timers.
+//! State, event handling and timers of the request state machine.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,58 +27,58 @@
 use crate::run::Run;
 use crate::tokens::Tokens;
 
-/// What is to be done at a time.
+/// What to do when a timer expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// Deadline of one caller.
+    /// Refuse a caller whose deadline has passed.
     Deadline(RequestId),
-    /// Time for a lost connection to come back.
+    /// Retry an attempt whose connection was not restored.
     Reconnect(AttemptId),
-    /// Ask the router again for those that wait.
+    /// Ask the router again for queued runs.
     DispatchQueued,
-    /// Ask the retry budget again.
+    /// Check the retry budget again for delayed runs.
     RetryBudget,
-    /// Time for the table to answer about the claim of a run.
+    /// Refuse a run whose call to the table or the object store timed out.
     StoreTimeout(RequestId),
-    /// Ask an agent about another entry's attempt.
+    /// Ask an agent whether it started another entry's attempt.
     SendQuery(AttemptId),
-    /// Time for an agent to answer about another entry's attempt.
+    /// Give up a query that the agent did not answer.
     QueryTimeout(AttemptId),
-    /// Time for a run that no caller waits for.
+    /// End a run that still has no callers.
     OrphanTimeout(RequestId),
-    /// Commit the writes that wait.
+    /// Send table reads and commits that are due.
     TableFlush,
-    /// Write outcomes again that could not be written.
+    /// Retry the outcome writes that failed.
     OutcomeRetry,
-    /// Store answers again that could not be stored.
+    /// Resume object writes after a backoff.
     ObjectRetry,
 }
 
-/// Queue of one profile for one service.
+/// Each profile of a service has a queue of its own.
 pub(crate) type QueueKey = (ServiceName, ProfileName);
 
-/// Borrowed for the time of one event.
+/// State that exists while one event is handled.
 pub(crate) struct Context<'a> {
     pub now: Instant,
     pub router: &'a mut dyn Router,
     pub actions: Vec<Action>,
 }
 
-/// All requests of one entry.
+/// State machine of all requests at one entry.
 pub struct Requests {
     pub(crate) runs: BTreeMap<RequestId, Run>,
-    /// Run of every caller that waits.
+    /// Run of every request whose caller waits for an answer.
     pub(crate) runs_by_caller: BTreeMap<RequestId, RequestId>,
-    /// Run of every attempt in progress; messages about others are late and dropped.
+    /// Run of every attempt in progress; messages about other attempts are late and ignored.
     pub(crate) runs_by_attempt: BTreeMap<AttemptId, RequestId>,
-    /// Run of every key; resends join it.
+    /// Run of every claim key in use; resends join it.
     pub(crate) runs_by_key: BTreeMap<String, RequestId>,
-    /// Run that asks about another entry's attempt.
+    /// Runs that query an agent, by the other entry's attempt that they query it about.
     pub(crate) agent_queries: BTreeMap<AttemptId, RequestId>,
     pub(crate) batches: WriteBatcher,
     pub(crate) pending_reads: Vec<RequestId>,
     pub(crate) reads_in_flight: BTreeMap<u64, Vec<RequestId>>,
-    /// Outcomes that are not written yet, by the key of their row.
+    /// Outcomes that may not be in the table yet, by claim key.
     pub(crate) unwritten_outcomes: BTreeMap<String, UnwrittenOutcome>,
     pub(crate) outcomes_to_retry: Vec<Write>,
     pub(crate) objects: Objects,
@@ -86,23 +86,24 @@
     pub(crate) replays: ReplayLimiter,
     pub(crate) tokens: Tokens,
     pub(crate) entry: Incarnation,
-    /// Number of the last call to the table.
+    /// Number of the last call to the table or the object store.
     pub(crate) last_operation: u64,
     pub(crate) queues: BTreeMap<QueueKey, Queue>,
     pub(crate) retry_budgets: BTreeMap<ServiceName, RetryBudget>,
     pub(crate) connections: BTreeMap<TargetName, Incarnation>,
     pub(crate) timers: BTreeSet<(Instant, Timer)>,
-    /// Time of the pump timer that is set.
+    /// Time of the `DispatchQueued` timer that is set.
     pub(crate) dispatch_retry_at: Option<Instant>,
-    /// Time by which reads that wait are made.
+    /// Time at which the pending reads are sent.
     pub(crate) pending_reads_due: Option<Instant>,
-    /// Something changed that may let a waiting request go.
+    /// Something changed that may allow a queued run to be dispatched.
     pub(crate) is_dispatch_due: bool,
     pub(crate) leaving: bool,
 }
 
 impl Requests {
-    /// Starts empty. `seed` makes tokens and random keys, and must differ between runs.
+    /// Starts without requests. `seed` determines tokens and generated keys, and must be different
+    /// for each start of a process.
     #[must_use]
     pub fn new(entry: Incarnation, seed: u64) -> Self {
         Self {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Targets that attempts, claims being written or questions about claims refer to.
+    /// Targets of attempts in progress, of claims being written and of queries to agents.
     #[must_use]
     pub fn targets_in_use(&self) -> BTreeSet<TargetName> {
         let of = |run: &Run| match (&run.attempt, &run.phase) {
@@ -145,7 +146,7 @@
         self.runs.values().filter_map(of).collect()
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Instant, event: Event, router: &mut dyn Router) -> Vec<Action> {
         let mut context = Context {
             now,
@@ -153,7 +154,7 @@
             actions: Vec::new(),
         };
         let cx = &mut context;
-        // Timers first: nothing is dispatched or relayed past its deadline.
+        // Timers run first, so that nothing is dispatched or relayed after its deadline.
         self.run_timers(cx);
         match event {
             Event::Submitted {
@@ -196,26 +197,26 @@
         context.actions
     }
 
-    /// When `Event::Tick` is needed next; `None` while nothing is timed.
+    /// Time at which `Event::Tick` is needed next; `None` while no timer is set.
     #[must_use]
     pub fn next_tick(&self) -> Option<Instant> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Requests accepted and not settled.
+    /// Number of requests that were accepted and have not ended.
     #[must_use]
     pub fn open(&self) -> usize {
         self.runs_by_caller.len()
     }
 
-    /// Whether every request has ended. Outcomes may still have to be written to the table; while
-    /// that is impossible, a resend gets them from the agent.
+    /// Whether every request has ended. Outcomes may still have to be written to the table; until
+    /// then, a resend gets them from the agent.
     #[must_use]
     pub fn is_served(&self) -> bool {
         self.runs.is_empty() && self.runs_by_caller.is_empty()
     }
 
-    /// Whether nothing is left to do; a stopping process may exit then.
+    /// Whether every request has ended and every outcome is written, so that the process may exit.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.runs.is_empty()
@@ -248,7 +249,7 @@
                     }
                 }
                 Timer::OrphanTimeout(id) => self.orphan_timed_out(cx, id),
-                // Calls that are due are made at the end of every event.
+                // Calls that are due are sent at the end of every event.
                 Timer::TableFlush | Timer::ObjectRetry => {}
                 Timer::OutcomeRetry => self.retry_outcomes(cx.now),
             }
--- a/components/request/src/retained.rs
+++ b/components/request/src/retained.rs
@@ -1,4 +1,4 @@
-//! Large answers in memory, within limits for the whole process.
+//! Retained answer bodies, with memory limits for the whole process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,18 +6,18 @@
 use crate::claim::KEPT_ANSWER_LIMIT_BYTES;
 use crate::claim::ROW_ANSWER_LIMIT_BYTES;
 
-/// Bytes of large answers that one entry holds until they are stored: a quarter of its 128 MB.
-/// An outage of the object store would otherwise fill the memory. An answer beyond it is not
-/// kept.
+/// Memory for large answers that are retained until they are stored: a quarter of an entry's
+/// 128 MB. Without a limit, an outage of the object store would exhaust the memory. An answer that
+/// does not fit is not retained.
 pub const RETAINED_LIMIT_BYTES: usize = 32 << 20;
-/// Bytes of large answers for resends that callers have not taken yet: another quarter. Callers
-/// that resend freely and read slowly would otherwise fill the memory.
+/// Memory for large answers that are being sent to resends: another quarter. Without a limit,
+/// callers that resend often and read slowly would exhaust the memory.
 pub const REPLAY_LIMIT_BYTES: usize = 32 << 20;
 
-/// Memory that a growing large answer takes ahead.
+/// Minimum step by which the buffer of a large answer grows.
 const GROWTH_STEP_BYTES: usize = 64 << 10;
 
-/// Bytes held for one purpose, with their limit.
+/// Memory in use for one purpose, and its limit.
 #[derive(Debug, Clone)]
 pub struct MemoryBudget {
     used: Rc<Cell<usize>>,
@@ -25,7 +25,7 @@
 }
 
 impl MemoryBudget {
-    /// Nothing is held yet.
+    /// Starts with no memory in use.
     #[must_use]
     pub fn new(limit_bytes: usize) -> Self {
         Self {
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Bytes held now.
+    /// Bytes that are reserved now.
     #[must_use]
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// Starts to hold something that has no bytes yet.
+    /// Starts a reservation of zero bytes.
     pub(crate) fn reserve(&self) -> Reservation {
         Reservation {
             bytes: 0,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Part of the bytes held; given back when it is dropped.
+/// Part of a budget, released on drop.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     bytes: usize,
@@ -57,7 +57,7 @@
 }
 
 impl Reservation {
-    /// Returns false if the limit does not allow it.
+    /// Grows the reservation to `bytes`. Returns false if that exceeds the budget.
     pub fn grow_to(&mut self, bytes: usize) -> bool {
         let used = self.budget.used() - self.bytes + bytes;
         if used > self.budget.limit_bytes {
@@ -75,7 +75,7 @@
     }
 }
 
-/// The bytes of one answer. Those of an answer that fits into a row are not counted.
+/// Body of one answer. A body that fits into a claim row is not counted against the budget.
 #[derive(Debug)]
 pub struct RetainedBody {
     bytes: Vec<u8>,
@@ -90,13 +90,13 @@
         }
     }
 
-    /// The bytes.
+    /// The body so far.
     #[must_use]
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Adds bytes. Returns false if a limit does not allow it.
+    /// Appends bytes. Returns false if that exceeds a limit.
     pub(crate) fn push(&mut self, more: &[u8]) -> bool {
         let length = self.bytes.len() + more.len();
         let is_large = length > ROW_ANSWER_LIMIT_BYTES;
@@ -104,7 +104,7 @@
             return false;
         }
         if is_large && self.bytes.capacity() < length {
-            // Doubling would take up to twice the memory that is counted.
+            // `Vec` would double its capacity, up to twice the memory that is reserved.
             self.bytes.reserve_exact(more.len().max(GROWTH_STEP_BYTES));
         }
         self.bytes.extend_from_slice(more);
--- a/components/request/src/router.rs
+++ b/components/request/src/router.rs
@@ -1,4 +1,4 @@
-//! The choice of a target, as the state machine of requests sees it.
+//! Interface through which the request state machine chooses targets.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,80 +11,80 @@
 use types::TargetName;
 use types::Usage;
 
-/// What an attempt needs from a target.
+/// Requirements of an attempt, by which a target is chosen.
 #[derive(Debug, Clone)]
 pub struct Need {
-    /// Service addressed.
+    /// Service that the request addresses.
     pub service: ServiceName,
-    /// Engine or plain service.
+    /// Whether the service is backed by engines or is a plain one.
     pub kind: ServiceKind,
-    /// Model, version and adapter; empty fields ask for nothing.
+    /// Required model, version and adapters; empty fields require nothing.
     pub needs: Loaded,
-    /// 0 is served first.
+    /// Priority from 0, served first, to 9.
     pub priority: u8,
-    /// Estimated prompt length.
+    /// Estimated length of the prompt.
     pub prompt_tokens: u32,
-    /// Upper bound of the output.
+    /// Upper bound of the output length.
     pub max_output_tokens: u32,
-    /// Hash of the prompt's prefix after each whole cache piece.
+    /// Hashes of the prompt prefixes that end at each complete cache block.
     pub prefixes: Vec<u64>,
-    /// Time by which the whole answer must be there.
+    /// Time by which the complete answer is needed.
     pub deadline: Instant,
-    /// Time until which the caller is expected to wait, if it is known to be short. Roles are
-    /// planned with it; the request is not refused for it.
+    /// Time until which the caller is expected to wait, if that is too short to refuse requests by.
+    /// It is only used to plan the roles of targets.
     pub wanted_by: Option<Instant>,
-    /// Requests of this entry at one target at once, from the profile.
+    /// Maximum number of concurrent requests of this entry at one target, from the profile.
     pub concurrency_limit: u32,
-    /// Factor on the prefill time that a cached prefix saves, from the profile.
+    /// Weight of the prefill time that a cached prefix saves, from the profile.
     pub cache_affinity: f64,
 }
 
-/// Where to send an attempt.
+/// Decision of the router about an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Choice {
-    /// To this run of this target.
+    /// Send it to this incarnation of this target.
     Target {
-        /// Target chosen.
+        /// Name of the target.
         target: TargetName,
-        /// Run of its agent.
+        /// Incarnation of the target's agent.
         incarnation: Incarnation,
-        /// Estimated time until the whole answer is there.
+        /// Estimated time to the complete answer.
         finish_ms: Duration,
     },
-    /// All that could take it are full or away for a moment.
+    /// All suitable targets are full or temporarily away.
     Wait {
-        /// When to ask again.
+        /// Time until the router should be asked again.
         retry_ms: Duration,
     },
-    /// No target of the service can finish it by its deadline.
+    /// No target of the service can finish the attempt by its deadline.
     Infeasible {
-        /// When it may be feasible.
+        /// Time until a request may be feasible again.
         retry_ms: Duration,
     },
-    /// The service has no target that could ever take it.
+    /// The service has no target that could serve the attempt.
     Never,
 }
 
 /// How an attempt ended, for load accounting and ejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Settlement {
-    /// Whole answer.
+    /// The complete answer was received.
     Answered(Usage),
-    /// Not taken by the agent.
+    /// Rejected without being executed.
     Rejected,
-    /// Failed at the target, or the target was lost.
+    /// Failed at the target, or the target became unreachable.
     Failed,
-    /// No longer wanted.
+    /// Cancelled because no caller waits for its answer any more.
     Cancelled,
 }
 
-/// Chooses targets and keeps account of what was sent to them.
+/// Chooses targets and tracks the attempts that were sent to them.
 pub trait Router {
-    /// Chooses a target outside `exclude`, which may be used again if nothing else is left.
+    /// Chooses a target that is not in `exclude`, or one that is if there is no other.
     fn choose(&mut self, now: Instant, need: &Need, exclude: &[TargetName]) -> Choice;
-    /// An attempt was sent to a target.
+    /// Records that an attempt was sent to a target.
     fn dispatched(&mut self, now: Instant, target: &TargetName, attempt: AttemptId, need: &Need);
-    /// An attempt has ended.
+    /// Records that an attempt has ended.
     fn settled(
         &mut self,
         now: Instant,
--- a/components/request/src/run.rs
+++ b/components/request/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: the work of one request, and of the resends that joined it.
+//! A run: one execution of a request on behalf of its caller and of the resends that joined it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,7 +22,7 @@
 use crate::event::Terms;
 use crate::router::Need;
 
-/// A caller that waits for the answer.
+/// A caller that waits for the answer of a run.
 #[derive(Debug)]
 pub(crate) struct Waiter {
     pub request: RequestId,
@@ -34,17 +34,17 @@
     pub first_byte_ms: Option<Duration>,
 }
 
-/// The attempt in progress.
+/// The attempt of a run that is in progress.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub id: AttemptId,
     pub target: TargetName,
     pub incarnation: Incarnation,
-    /// Offset up to which the agent may send.
+    /// Offset up to which the agent has credit to send.
     pub granted_offset: u64,
-    /// Offset from which the agent was asked to send again.
+    /// Offset at which the agent was last asked to resume.
     pub resume_offset: Option<u64>,
-    /// Sent by this entry, so the router keeps account of it.
+    /// The attempt was dispatched by this entry, so the router tracks it.
     pub is_own: bool,
 }
 
@@ -53,36 +53,37 @@
 pub(crate) struct Claim {
     pub key: String,
     pub digest: String,
-    /// Version of the row as last seen; 0 for an absent one.
+    /// Version of the row as last seen; 0 if there is no row.
     pub version: RowVersion,
-    /// The row at this version was written by this run.
+    /// Row that names the attempt of this run, written by this run or by the entry whose attempt it
+    /// follows; `None` before that.
     pub current_row: Option<Box<ClaimRow>>,
-    /// The caller gave a key, so that resends can ask for the outcome.
+    /// The caller sent an `Idempotency-Key`, so resends can find the outcome.
     pub has_key: bool,
-    /// Times that another entry's claim was met.
-    pub conflicts: u32,
+    /// Number of times that the claim was resolved, up to a limit.
+    pub resolutions: u32,
 }
 
-/// Where a run stands.
+/// Phase of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Its claim is being read.
+    /// The claim is being read.
     Reading,
-    /// In the admission queue.
+    /// Waiting in the admission queue.
     Queued,
-    /// Its claim is being written for an attempt at that run of a target.
+    /// The claim is being written, for an attempt at this incarnation of this target.
     Claiming(TargetName, Incarnation),
-    /// Another entry holds the claim; its agent is asked whether the attempt was started.
+    /// Another entry holds the claim; the agent is asked whether it started the attempt.
     QueryingAgent(Box<ClaimRow>),
-    /// Another submission ran; its answer is being read from the object store.
+    /// An earlier submission ran; its answer is being read from the object store.
     Fetching(Box<StoredObject>),
-    /// Waits for the retry budget.
+    /// Waiting for the retry budget.
     Delayed,
     /// An attempt is in progress.
     Running,
 }
 
-/// One run.
+/// One execution of a request, with all of its attempts and callers.
 pub(crate) struct Run {
     pub id: RequestId,
     pub submission: Submission,
@@ -91,31 +92,31 @@
     pub idempotent: bool,
     pub waiters: SmallVec<[Waiter; 1]>,
     pub phase: Phase,
-    /// Number of the last attempt.
+    /// Number of the last attempt; the first one is 1.
     pub attempt_no: u32,
-    /// Attempts that were sent.
+    /// Number of attempts that count against the attempt limit.
     pub counted_attempts: u32,
     pub tried_targets: SmallVec<[TargetName; 2]>,
-    /// What is told of the attempts when the run ends.
+    /// Attempts to report when the run ends.
     pub history: SmallVec<[AttemptSummary; 1]>,
     pub attempt: Option<Attempt>,
     pub answer: Answer,
-    /// Only for non-idempotent work.
+    /// `None` for idempotent work.
     pub claim: Option<Claim>,
     pub accepted: Instant,
-    /// Time by which the table must have answered.
+    /// Time-out of the call to the table or the object store in flight.
     pub store_deadline: Option<Instant>,
-    /// An earlier attempt may have run, in part or whole.
+    /// An earlier attempt may have been executed, in part or completely.
     pub may_have_executed: bool,
 }
 
 impl Run {
-    /// Time by which the last caller wants its answer.
+    /// Latest deadline of all callers.
     pub fn deadline(&self) -> Instant {
         self.need.deadline
     }
 
-    /// Notes that an attempt was sent.
+    /// Records the dispatch of an attempt.
     pub fn attempt_started(&mut self, now: Instant, target: TargetName) {
         self.tried_targets.push(target.clone());
         self.history.push(AttemptSummary {
@@ -125,7 +126,7 @@
         });
     }
 
-    /// Notes how the last attempt ended.
+    /// Records how the last attempt ended.
     pub fn attempt_ended(&mut self, now: Instant, end: AttemptEnd) {
         let since = now.saturating_duration_since(self.accepted);
         if let Some(last) = self.history.last_mut() {
@@ -133,23 +134,23 @@
         }
     }
 
-    /// What may be said of the run if it ended now.
+    /// Run state to report if the run ended now.
     pub fn state(&self) -> RunState {
-        let elsewhere = matches!(self.phase, Phase::QueryingAgent(_) | Phase::Fetching(_));
-        if self.may_have_executed || self.attempt.is_some() || elsewhere {
+        let is_elsewhere = matches!(self.phase, Phase::QueryingAgent(_) | Phase::Fetching(_));
+        if self.may_have_executed || self.attempt.is_some() || is_elsewhere {
             return RunState::Unknown;
         }
         RunState::NotRun
     }
 
-    /// Offset up to which the slowest caller has taken the answer.
+    /// Offset up to which the slowest caller has consumed the answer.
     pub fn consumed(&self) -> u64 {
         let slowest = self.waiters.iter().map(|waiter| waiter.consumed).min();
         slowest.unwrap_or_else(|| self.answer.received())
     }
 }
 
-/// What a target must have for a submission.
+/// Requirements of a submission under the configuration of its service.
 pub(crate) fn need_for(submission: &Submission, terms: &Terms, deadline: Instant) -> Need {
     let work = &submission.work;
     Need {
--- a/components/request/src/submit.rs
+++ b/components/request/src/submit.rs
@@ -1,4 +1,4 @@
-//! Admission of a request.
+//! Admission of requests: limits, idempotency keys, resends and queueing.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -54,7 +54,7 @@
         if !idempotent {
             match self.prepare_claim(cx, &run) {
                 Some(claim) => {
-                    // Nobody can ask for the answer of a run under a random key.
+                    // No resend can find a run that has a generated key.
                     if claim.has_key {
                         run.answer = Answer::retaining(&self.retained_budget);
                     }
@@ -66,7 +66,7 @@
         self.admit(cx, run);
     }
 
-    /// Claim of a new run, or `None` if the request was answered or has joined another run.
+    /// Claim of a new run; `None` if the request was answered at once or joined another run.
     fn prepare_claim(&mut self, cx: &mut Context, run: &Run) -> Option<Claim> {
         let submission = &run.submission;
         let digest = work_digest(submission);
@@ -91,7 +91,7 @@
         Some(new_claim(key, digest, true))
     }
 
-    /// Lets a resend share the run of the first submission.
+    /// Adds a resend to the run of an earlier submission.
     fn join_run(&mut self, cx: &mut Context, id: RequestId, resend: &Run, digest: &str) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -143,7 +143,7 @@
         None
     }
 
-    /// Takes a run into the books and into its queue.
+    /// Registers a run, and reads its claim or queues it.
     fn admit(&mut self, cx: &mut Context, run: Run) {
         let id = run.id;
         let service = run.need.service.clone();
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Puts a run into the queue of its profile, or refuses it if it cannot be served from there.
+    /// Adds a run to the queue of its profile. A new run is refused if the queue is full or the
+    /// expected wait exceeds its deadline.
     pub(crate) fn enqueue(&mut self, cx: &mut Context, id: RequestId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -184,7 +185,7 @@
         let limit = run.terms.profile.queue_limit.max(1) as usize;
         let excess = queue.excess(cx.now, priority, deadline);
         if first_try && (queue.len() >= limit || excess.is_some()) {
-            let detail = "too many requests wait for this service";
+            let detail = "too many requests are queued for this service";
             let retry = excess.unwrap_or_default().max(RETRY_MS);
             let refusal = RefusalCause::new(RefusalReason::Overloaded, Some(retry), detail);
             self.refuse(cx, id, &refusal);
@@ -232,7 +233,7 @@
         version: 0,
         current_row: None,
         has_key,
-        conflicts: 0,
+        resolutions: 0,
     }
 }
 
@@ -248,7 +249,7 @@
     }
 }
 
-/// Refuses a request that never got into the books.
+/// Refuses a request that was not registered as a run.
 pub(crate) fn refuse_unregistered(
     cx: &mut Context,
     request: RequestId,
@@ -258,7 +259,7 @@
     reply_unregistered(cx, request, submission, vec![Reply::Refused(refusal)]);
 }
 
-/// Answers a request that never got into the books.
+/// Answers a request that was not registered as a run.
 pub(crate) fn reply_unregistered(
     cx: &mut Context,
     request: RequestId,
--- a/components/request/src/sweep.rs
+++ b/components/request/src/sweep.rs
@@ -1,14 +1,15 @@
-//! Duty of the holder of the `sweep` lease: counting epochs and deleting expired claims.
+//! Background task of the holder of the `sweep` lease: advances the epoch and deletes expired
+//! claims.
 //!
-//! Two holders at once do no harm. An epoch is counted only by a transaction on the version
-//! that this process has seen unchanged for a whole epoch on its own clock, and a claim is
+//! Two concurrent holders do no harm. The epoch is advanced only by a transaction on a version that
+//! this process has seen unchanged for the length of an epoch on its own clock, and a claim is
 //! deleted only at the version that was read.
 //!
-//! The object of a claim is deleted before its row, so that a holder that stops in between
-//! leaves a row from which the next one finds the object again. The key follows from the row in
-//! any state: an entry that stored an object and died before the row named it leaves a row that
-//! is `taken` or `unknown`, and the object goes with that row. A row whose object cannot be
-//! deleted stays until the next pass.
+//! The object of a claim is deleted before its row, so that the row still leads to the object if
+//! the holder stops in between. The object key follows from the row in any state: an entry that
+//! stored an object and stopped before the row referred to it leaves a row that is `taken` or
+//! `unknown`, and the object is deleted with that row. A row whose object cannot be deleted stays
+//! until the next pass.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -33,59 +34,61 @@
 use crate::claim::EpochRow;
 use crate::tokens::Tokens;
 
-/// Row that every deletion writes, because a lost reply is resolved by a row that exists.
+/// Key of the row that every deletion writes as its proof. A commit whose reply was lost can only
+/// be proved by a row that exists.
 pub const CURSOR_KEY: &str = "sweep-cursor";
-/// Time between two calls, which bounds the load on the table to 4 reads and 4 writes a second.
-const CALL_INTERVAL_MS: Duration = Duration::from_millis(250);
-/// Time between two deletions of objects: at most 50 of the store's several hundred writes a
+/// Minimum time between two calls, which limits the load on the table to 4 reads and 4 writes a
 /// second.
+const CALL_INTERVAL_MS: Duration = Duration::from_millis(250);
+/// Minimum time between two deletions of objects, which limits them to 50 of the several hundred
+/// writes a second that the store accepts.
 const OBJECT_DELETE_INTERVAL_MS: Duration = Duration::from_millis(20);
-/// Rows read at once; 64 stored answers are at most 6 MB as JSON.
+/// Number of rows read in one call; 64 stored answers are at most 6 MB of JSON.
 const PAGE_ROWS: usize = 64;
-/// Time after which a call that has not ended is given up.
+/// Time after which a call without a result is abandoned.
 const CALL_TIMEOUT_MS: Duration = Duration::from_secs(30);
 
-/// One event.
+/// Event reported to the sweep.
 #[derive(Debug)]
 pub enum SweepEvent {
-    /// This process took or lost the lease.
+    /// The process acquired or lost the lease.
     Lease {
-        /// It holds it now.
+        /// The process holds the lease now.
         held: bool,
     },
-    /// A call to the table ended.
+    /// A call to the table returned or failed.
     TableDone {
         /// Number from `SweepAction`.
         operation: u64,
-        /// Its end.
+        /// Reply of the store, or why there is none.
         result: Result<TableReply, StoreError>,
     },
-    /// A call to the object store ended.
+    /// A call to the object store returned or failed.
     ObjectDone {
         /// Number from `SweepAction`.
         operation: u64,
-        /// Its end.
+        /// Reply of the store, or why there is none.
         result: Result<ObjectReply, StoreError>,
     },
-    /// Time passed.
+    /// The time of `Sweep::next_tick` has come.
     Tick,
 }
 
-/// One call.
+/// Call to make.
 #[derive(Debug)]
 pub enum SweepCall {
-    /// To the table.
+    /// Call to the table.
     Table(TableRequest),
-    /// To the object store.
+    /// Call to the object store.
     Object(ObjectRequest),
 }
 
-/// Make a call and report its end with the same number.
+/// Call to make, whose result is reported with the same number.
 #[derive(Debug)]
 pub struct SweepAction {
-    /// Number of the call.
+    /// Number that identifies the call in the event.
     pub operation: u64,
-    /// The call.
+    /// Store to call, and the request.
     pub call: SweepCall,
 }
 
@@ -104,7 +107,7 @@
     token: String,
 }
 
-/// State of the duty.
+/// State of the sweep at one process.
 pub struct Sweep {
     has_lease: bool,
     step: Step,
@@ -123,7 +126,8 @@
 }
 
 impl Sweep {
-    /// Starts without the lease. `seed` must differ between runs.
+    /// Starts without the lease. `seed` determines tokens, and must be different for each start of
+    /// a process.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Takes one event and returns the next call, if any.
+    /// Handles one event and returns the next call, if one is due.
     pub fn handle(&mut self, now: Instant, event: SweepEvent) -> Option<SweepAction> {
         match event {
             SweepEvent::Lease { held } => self.set_lease(now, held),
@@ -156,7 +160,7 @@
         self.next_call(now)
     }
 
-    /// When `SweepEvent::Tick` is needed next.
+    /// Time at which `SweepEvent::Tick` is needed next; `None` without the lease.
     #[must_use]
     pub fn next_tick(&self) -> Option<Instant> {
         match self.call {
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Claims deleted by this process.
+    /// Number of claims deleted by this process.
     #[must_use]
     pub fn deleted(&self) -> u64 {
         self.deleted
@@ -195,7 +199,7 @@
         if !self.has_lease || self.next_at.is_none_or(|at| at > now) {
             return None;
         }
-        let mut backoff_ms = CALL_INTERVAL_MS;
+        let mut interval_ms = CALL_INTERVAL_MS;
         let call = match self.step {
             Step::ReadEpoch => SweepCall::Table(TableRequest::Read(vec![EPOCH_KEY.to_owned()])),
             Step::AdvanceEpoch => SweepCall::Table(self.advance_epoch()),
@@ -205,7 +209,7 @@
                 limit: PAGE_ROWS,
             }),
             Step::DeleteObject => {
-                backoff_ms = OBJECT_DELETE_INTERVAL_MS;
+                interval_ms = OBJECT_DELETE_INTERVAL_MS;
                 let key = self.objects.last().map(|(_, key)| key.clone());
                 let key = key.unwrap_or_default();
                 SweepCall::Object(ObjectRequest::Delete { key })
@@ -214,7 +218,7 @@
         };
         self.last_operation += 1;
         self.call = Some((self.last_operation, now));
-        self.next_at = Some(now + backoff_ms);
+        self.next_at = Some(now + interval_ms);
         Some(SweepAction {
             operation: self.last_operation,
             call,
@@ -352,7 +356,7 @@
                 let before = self.expired.len();
                 self.expired
                     .retain(|row| rows.iter().all(|changed| changed.key != row.key));
-                // A conflict that names no row of the page is met again in the next pass.
+                // If the conflict names no row of the page, its rows are left to the next pass.
                 if self.expired.len() < before && !self.expired.is_empty() {
                     self.step = Step::DeleteRows;
                 } else {
--- a/components/request/src/takeover.rs
+++ b/components/request/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeover of another entry's claim: its agent is asked whether the attempt was started.
+//! Takeover of another entry's claim, after asking the agent whether it started the attempt.
 
 use std::time::Duration;
 
@@ -24,29 +24,30 @@
 use crate::run::Attempt;
 use crate::run::Phase;
 
-/// Time for an agent to say whether it started an attempt: the 2 s after which a silent
-/// connection is replaced, and one for the new connection.
+/// Time-out of a query: 2 s after which a silent connection is replaced, and 1 s for the new
+/// connection.
 const QUERY_TIMEOUT_MS: Duration = Duration::from_secs(3);
-/// Time for another entry that has just taken a claim to dispatch under it. Without it, two
-/// entries that get the same request at once forbid each other's attempts until both give up.
+/// Delay before a query, in which another entry that has just taken the claim can dispatch. Without
+/// it, two entries that receive the same request at once forbid each other's attempts until both
+/// give up.
 const QUERY_DELAY_MS: Duration = Duration::from_millis(40);
-/// The delay doubles with every contest, up to 640 ms.
+/// The delay doubles each time that the claim is resolved again, up to 640 ms.
 const MAX_DELAY_DOUBLINGS: u32 = 4;
 
 impl Requests {
-    /// Asks the agent named in another entry's claim.
+    /// Schedules a query to the agent that another entry's claim names.
     pub(crate) fn query_agent(&mut self, cx: &mut Context, id: RequestId, row: ClaimRow) {
         let attempt = row.attempt_id();
         self.agent_queries.insert(attempt, id);
         if let Some(run) = self.runs.get_mut(&id) {
             run.phase = Phase::QueryingAgent(Box::new(row));
         }
-        let conflicts = self
+        let resolutions = self
             .runs
             .get(&id)
             .and_then(|run| run.claim.as_ref())
-            .map_or(0, |claim| claim.conflicts);
-        let doublings = conflicts.saturating_sub(1).min(MAX_DELAY_DOUBLINGS);
+            .map_or(0, |claim| claim.resolutions);
+        let doublings = resolutions.saturating_sub(1).min(MAX_DELAY_DOUBLINGS);
         let delay = QUERY_DELAY_MS * (1 << doublings);
         self.set_timer(cx.now + delay, Timer::SendQuery(attempt));
         self.set_timer(
@@ -55,7 +56,7 @@
         );
     }
 
-    /// The other entry has had its time to dispatch.
+    /// Sends a query once the other entry has had time to dispatch.
     pub(crate) fn send_query(&mut self, cx: &mut Context, attempt: AttemptId) {
         if let Some(&id) = self.agent_queries.get(&attempt) {
             self.send_forbid(cx, id);
@@ -75,7 +76,7 @@
         });
     }
 
-    /// The agent's answer.
+    /// Handles the agent's answer to a query.
     pub(crate) fn query_answered(
         &mut self,
         cx: &mut Context,
@@ -86,7 +87,7 @@
         let Some(row) = self.end_query(id) else {
             return;
         };
-        // Another run of the agent cannot know what became of the attempt.
+        // Another incarnation of the agent has no record of the attempt.
         let outcome = if incarnation == row.incarnation {
             outcome
         } else {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Takes the row of an enquiry that ends.
+    /// Ends a query and returns the claim row that it was about.
     fn end_query(&mut self, id: RequestId) -> Option<Box<ClaimRow>> {
         let run = self.runs.get_mut(&id)?;
         let Phase::QueryingAgent(row) = std::mem::replace(&mut run.phase, Phase::Reading) else {
@@ -109,7 +110,7 @@
         Some(row)
     }
 
-    /// Relays the answer of another entry's attempt.
+    /// Follows another entry's attempt, and relays its answer.
     fn follow_attempt(&mut self, cx: &mut Context, id: RequestId, row: Box<ClaimRow>) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -143,14 +144,14 @@
         self.refuse_unknown(cx, id, &outcome_unknown());
     }
 
-    /// A connection to a target can be used: asks again what was asked on the last one.
+    /// Sends pending queries again on a new connection to their target.
     pub(crate) fn resend_queries(&mut self, cx: &mut Context, target: &TargetName) {
         for id in self.queries_to(target, None) {
             self.send_forbid(cx, id);
         }
     }
 
-    /// That run of a target has ended.
+    /// Ends the queries to an incarnation whose process has ended.
     pub(crate) fn fail_queries(
         &mut self,
         cx: &mut Context,
@@ -181,7 +182,7 @@
         ids
     }
 
-    /// The agent does not answer. The claim stays as it is; a resend asks again.
+    /// Handles a query without an answer. The claim stays unchanged, and a resend queries again.
     pub(crate) fn query_timed_out(&mut self, cx: &mut Context, id: RequestId) {
         if self.end_query(id).is_none() {
             return;
@@ -192,7 +193,7 @@
         self.refuse_unknown(cx, id, &cause);
     }
 
-    /// State that a claim gets when its run is forgotten.
+    /// State to record in the claim when its run is removed.
     pub(crate) fn final_claim_state(&self, id: RequestId) -> ClaimState {
         match self.runs.get(&id).map(crate::run::Run::state) {
             Some(types::RunState::Unknown) => ClaimState::Unknown,
--- a/components/request/src/tokens.rs
+++ b/components/request/src/tokens.rs
@@ -1,6 +1,6 @@
-//! Unguessable numbers from a seed, so that runs can be repeated.
+//! Unguessable tokens that are derived from a seed, so that simulations are reproducible.
 
-/// Source of tokens.
+/// Generator of tokens that are unique to one entry and seed.
 pub(crate) struct Tokens {
     seed: [u8; 32],
     counter: u64,
--- a/components/request/src/wait_estimate.rs
+++ b/components/request/src/wait_estimate.rs
@@ -1,22 +1,22 @@
-//! Pace at which a queue is cleared, and the time that a request which waits in it needs.
+//! Estimates the time to answer of a queued request from the departure rate and service times.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time over which the pace is measured. It counts only while requests wait.
+/// Time constant of the exponential decay of the departure rate. Only time with a backlog counts.
 const DECAY_S: f64 = 10.0;
-/// Weight of a new sample in the mean time from dispatch to answer.
+/// Weight of a new sample in the moving averages of the service time and its deviation.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
 
-/// Longest service time that is learned from, so that one estimate without bound does not make a
-/// profile refuse everything.
+/// Upper bound of service time samples, so that a single unbounded estimate does not make a profile
+/// refuse every request.
 const MAX_SAMPLE: Duration = Duration::from_mins(10);
-/// Mean deviations added to the mean service time. With fewer, requests that need longer than the
-/// mean are accepted, wait and are refused late: in `overload` at 120% load the 95th percentile of
-/// the time to a refusal was 3.2 s (El Bolsón) and 15 s (Kitagawa) with 2, 0.1 and 2.1 s with 4.
+/// Number of mean deviations added to the mean service time. With fewer, requests that take longer
+/// than the mean are admitted and refused only after a wait: at 120% load, the 95th percentile of
+/// the time to a refusal was 3.2 s and 15 s at two sites with 2, and 0.1 s and 2.1 s with 4.
 const DEVIATION_FACTOR: f64 = 4.0;
 
-/// Departures for each second in which requests waited, and the time that targets take.
+/// Departures per second of backlog, and service times of targets, as moving averages.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WaitEstimator {
     departures: f64,
@@ -28,16 +28,16 @@
 }
 
 impl WaitEstimator {
-    /// The queue is no longer empty.
+    /// Records that the queue is no longer empty.
     pub fn queue_filled(&mut self, now: Instant) {
         self.backlogged_since = Some(now);
         self.updated = Some(now);
     }
 
-    /// A request left for a target; `empty` says whether it was the last one.
+    /// Records a dispatch from the queue; `is_empty` tells whether the queue is empty after it.
     pub fn departed(&mut self, now: Instant, is_empty: bool) {
         self.decay(now);
-        // What was never held up says nothing about how fast a backlog clears.
+        // A request that did not wait says nothing about the rate at which a backlog clears.
         if self.backlogged_since.is_some_and(|since| since < now) {
             self.departures += 1.0;
         }
@@ -46,26 +46,26 @@
         }
     }
 
-    /// The queue is empty.
+    /// Records that the queue is empty.
     pub fn queue_emptied(&mut self, now: Instant) {
         self.decay(now);
         self.backlogged_since = None;
         self.updated = None;
     }
 
-    /// A target takes this long from dispatch to the whole answer.
+    /// Adds a sample of the time from dispatch to the complete answer.
     pub fn record_service_time(&mut self, took: Duration) {
         let error_s = took.min(MAX_SAMPLE).as_secs_f64() - self.mean_service_s;
         self.mean_service_s += SERVICE_TIME_WEIGHT * error_s;
         self.mean_deviation_s += SERVICE_TIME_WEIGHT * (error_s.abs() - self.mean_deviation_s);
     }
 
-    /// Expected time until the answer of a request behind `ahead` others that wait.
+    /// Estimated time until the complete answer of a request with `ahead` requests before it.
     #[must_use]
     pub fn time_to_answer(&mut self, now: Instant, ahead: usize) -> Duration {
         self.decay(now);
         let ahead = f64::from(u32::try_from(ahead).unwrap_or(u32::MAX));
-        // The one added departure keeps a pace that is not known yet from refusing anything.
+        // The added departure keeps the estimate low until departures have been observed.
         let wait_s = ahead * self.backlogged_s / (self.departures + 1.0);
         let mean_service_s = self.mean_service_s + DEVIATION_FACTOR * self.mean_deviation_s;
         Duration::try_from_secs_f64(wait_s + mean_service_s).unwrap_or(Duration::MAX)
--- a/components/request/src/window.rs
+++ b/components/request/src/window.rs
@@ -1,29 +1,29 @@
-//! Requests of a service, and calls beyond the first of each, over a sliding window.
+//! Counts the requests of a service, and their repeated calls, over a sliding window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Width of one counter; the window moves in steps of this.
+/// Width of one slot, and the step by which the window moves.
 pub const SLOT_MS: Duration = Duration::from_millis(500);
 
-/// What was counted in a window.
+/// Counts of a slot or a window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Calls beyond the first of each.
+    /// Number of calls after the first call of each request.
     pub repeats: u64,
 }
 
-/// Counters of one service.
+/// Sliding window of counts for one service.
 #[derive(Debug, Default)]
 pub struct Window {
     slots: VecDeque<(Instant, Counts)>,
 }
 
 impl Window {
-    /// Counters of the present moment; those older than `width_ms` are forgotten.
+    /// Counts of the current slot; slots older than `width_ms` are removed.
     pub fn current(&mut self, now: Instant, width_ms: Duration) -> &mut Counts {
         self.expire(now, width_ms);
         let is_stale = self
