--- a/components/request/src/claims.rs
+++ b/components/request/src/claims.rs
@@ -37,7 +37,7 @@
 const READ_BATCH_DELAY_MS: Duration = Duration::from_millis(5);
 /// Maximum number of claims read in one call.
 const READ_BATCH_LIMIT: usize = 64;
-/// Time after its deadline at which a run without callers is abandoned.
+/// Time after its deadline at which a non-idempotent run without callers is ended.
 pub(crate) const ORPHAN_TIMEOUT_MS: Duration = Duration::from_secs(30);
 
 impl Requests {
@@ -65,15 +65,15 @@
     /// Sends the table reads and commits that are due.
     pub(crate) fn flush_table(&mut self, cx: &mut Context) {
         self.flush_reads(cx);
-        while let Some(request) = self.batches.flush(cx.now, self.last_operation + 1) {
+        while let Some(request) = self.batcher.flush(cx.now, self.last_operation + 1) {
             let operation = self.next_operation();
             cx.actions.push(Action::Table { operation, request });
         }
     }
 
     fn flush_reads(&mut self, cx: &mut Context) {
-        let full = self.pending_reads.len() >= READ_BATCH_LIMIT;
-        if !full && self.pending_reads_due.is_none_or(|at| at > cx.now) {
+        let is_full = self.pending_reads.len() >= READ_BATCH_LIMIT;
+        if !is_full && self.pending_reads_due.is_none_or(|at| at > cx.now) {
             return;
         }
         self.pending_reads_due = None;
@@ -108,7 +108,7 @@
             return;
         }
         let (ended, request) = self
-            .batches
+            .batcher
             .complete(operation, result, self.last_operation + 1);
         if let Some(request) = request {
             let operation = self.next_operation();
@@ -232,7 +232,7 @@
     }
 
     pub(crate) fn push_write(&mut self, now: Instant, write: Write) {
-        let at = self.batches.push(now, write);
+        let at = self.batcher.push(now, write);
         self.set_timer(at, Timer::TableFlush);
     }
 
@@ -282,12 +282,12 @@
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        let overdue = run.store_deadline.is_some_and(|due| due <= cx.now);
-        if overdue && matches!(run.phase, Phase::Fetching(_)) {
+        let is_overdue = run.store_deadline.is_some_and(|due| due <= cx.now);
+        if is_overdue && matches!(run.phase, Phase::Fetching(_)) {
             self.refuse(cx, id, &answer_unavailable());
             return;
         }
-        if overdue && matches!(run.phase, Phase::Reading | Phase::Claiming(..)) {
+        if is_overdue && matches!(run.phase, Phase::Reading | Phase::Claiming(..)) {
             if let Some(claim) = &mut run.claim {
                 claim.current_row = None;
             }
--- a/components/request/src/connections.rs
+++ b/components/request/src/connections.rs
@@ -62,12 +62,12 @@
         let Some(&id) = self.runs_by_attempt.get(&attempt) else {
             return;
         };
-        let connected = self
+        let is_connected = self
             .runs
             .get(&id)
             .and_then(|run| run.attempt.as_ref())
             .is_some_and(|current| self.connections.contains_key(&current.target));
-        if !connected {
+        if !is_connected {
             self.attempt_lost(cx, id);
         }
     }
--- a/components/request/src/dispatch.rs
+++ b/components/request/src/dispatch.rs
@@ -72,14 +72,13 @@
                         queue.infeasible(left_ms.saturating_add(wait));
                     }
                     let detail = "no target is expected to finish the request in time";
-                    let refusal = RefusalCause::new(RefusalReason::Overloaded, Some(wait), detail);
-                    self.refuse(cx, id, &refusal);
+                    let cause = RefusalCause::new(RefusalReason::Overloaded, Some(wait), detail);
+                    self.refuse(cx, id, &cause);
                 }
                 Choice::Never => {
                     let detail = "the service has no target that can serve the request";
-                    let refusal =
-                        RefusalCause::new(RefusalReason::NoTarget, Some(RETRY_MS), detail);
-                    self.refuse(cx, id, &refusal);
+                    let cause = RefusalCause::new(RefusalReason::NoTarget, Some(RETRY_MS), detail);
+                    self.refuse(cx, id, &cause);
                 }
             }
         }
@@ -144,8 +143,8 @@
             }
             let detail = "requests ahead in the queue leave too little time before the deadline";
             let retry = lateness_ms.max(RETRY_MS);
-            let refusal = RefusalCause::new(RefusalReason::Overloaded, Some(retry), detail);
-            self.refuse(cx, request, &refusal);
+            let cause = RefusalCause::new(RefusalReason::Overloaded, Some(retry), detail);
+            self.refuse(cx, request, &cause);
         }
     }
 
--- a/components/request/src/finish.rs
+++ b/components/request/src/finish.rs
@@ -58,13 +58,13 @@
     }
 
     /// Retries a run if it has an attempt left, and refuses it otherwise.
-    fn retry_or_refuse(&mut self, cx: &mut Context, id: RequestId, refusal: &RefusalCause) {
+    fn retry_or_refuse(&mut self, cx: &mut Context, id: RequestId, cause: &RefusalCause) {
         let run = self.runs.get(&id);
         if run.is_some_and(|run| run.counted_attempts < run.terms.profile.attempt_limit) {
             self.retry(cx, id);
             return;
         }
-        self.refuse(cx, id, refusal);
+        self.refuse(cx, id, cause);
     }
 
     /// Handles an attempt that failed and may have been executed.
@@ -81,8 +81,8 @@
             self.refuse_unknown(cx, id, &outcome_unknown());
             return;
         }
-        let refusal = RefusalCause::new(RefusalReason::TargetFailed, Some(RETRY_MS), detail);
-        self.retry_or_refuse(cx, id, &refusal);
+        let cause = RefusalCause::new(RefusalReason::TargetFailed, Some(RETRY_MS), detail);
+        self.retry_or_refuse(cx, id, &cause);
     }
 
     /// Handles an attempt whose answer differs from the part that callers already have.
@@ -93,8 +93,8 @@
             return;
         }
         let detail = "the answer was interrupted and a later attempt returned a different one";
-        let refusal = RefusalCause::new(RefusalReason::TargetFailed, Some(RETRY_MS), detail);
-        self.refuse(cx, id, &refusal);
+        let cause = RefusalCause::new(RefusalReason::TargetFailed, Some(RETRY_MS), detail);
+        self.refuse(cx, id, &cause);
     }
 
     /// Refuses a caller whose deadline has passed.
@@ -103,9 +103,9 @@
             return;
         };
         let detail = "the deadline passed";
-        let refusal = RefusalCause::new(RefusalReason::DeadlineExceeded, Some(RETRY_MS), detail);
+        let cause = RefusalCause::new(RefusalReason::DeadlineExceeded, Some(RETRY_MS), detail);
         let state = self.run_state_without_caller(id);
-        self.refuse_caller(cx, request, &refusal, state);
+        self.refuse_caller(cx, request, &cause, state);
         self.drop_if_orphaned(cx, id);
     }
 
--- a/components/request/src/outcomes.rs
+++ b/components/request/src/outcomes.rs
@@ -151,17 +151,17 @@
 
     fn resolve_outcome_conflict(&mut self, cx: &mut Context, write: Write, row: &Row) {
         if let Ok(found) = serde_json::from_str::<ClaimRow>(&row.value) {
-            let same = found.attempt_id() == write.row.attempt_id();
+            let is_same = found.attempt_id() == write.row.attempt_id();
             // Another entry recorded the outcome as unknown, is still querying the agent, or
             // could not retain the answer.
             let supersedes =
                 found.state != ClaimState::Done || (write.row.has_answer() && !found.has_answer());
-            if write.row.state == ClaimState::Done && same && supersedes {
+            if write.row.state == ClaimState::Done && is_same && supersedes {
                 let version = row.version;
                 self.push_write(cx.now, Write { version, ..write });
                 return;
             }
-            if !same {
+            if !is_same {
                 self.delete_object_of(&write);
             }
         }
@@ -182,8 +182,8 @@
     }
 
     fn outcome_written(&mut self, write: &Write) {
-        let same = |unwritten: &UnwrittenOutcome| unwritten.row.token == write.row.token;
-        if self.unwritten_outcomes.get(&write.key).is_some_and(same) {
+        let is_same = |unwritten: &UnwrittenOutcome| unwritten.row.token == write.row.token;
+        if self.unwritten_outcomes.get(&write.key).is_some_and(is_same) {
             self.unwritten_outcomes.remove(&write.key);
         }
     }
--- a/components/request/src/relay.rs
+++ b/components/request/src/relay.rs
@@ -93,10 +93,10 @@
     ) -> Option<RequestId> {
         let id = *self.runs_by_attempt.get(&attempt)?;
         let current = self.runs.get(&id)?.attempt.as_ref()?;
-        let same = current.id == attempt
+        let is_current = current.id == attempt
             && current.target == *target
             && current.incarnation == incarnation;
-        same.then_some(id)
+        is_current.then_some(id)
     }
 
     fn answer(&mut self, id: RequestId) -> Option<&mut Answer> {
@@ -237,9 +237,9 @@
 ) {
     let request = waiter.request;
     if let Some(head) = answer.head()
-        && !waiter.head_sent
+        && !waiter.is_head_sent
     {
-        waiter.head_sent = true;
+        waiter.is_head_sent = true;
         let reply = Reply::Head {
             status: head.status,
             content_type: head.content_type.clone(),
--- a/components/request/src/requests.rs
+++ b/components/request/src/requests.rs
@@ -75,7 +75,7 @@
     pub(crate) runs_by_key: BTreeMap<String, RequestId>,
     /// Runs that query an agent, by the other entry's attempt that they query it about.
     pub(crate) agent_queries: BTreeMap<AttemptId, RequestId>,
-    pub(crate) batches: WriteBatcher,
+    pub(crate) batcher: WriteBatcher,
     pub(crate) pending_reads: Vec<RequestId>,
     pub(crate) reads_in_flight: BTreeMap<u64, Vec<RequestId>>,
     /// Outcomes that may not be in the table yet, by claim key.
@@ -109,7 +109,7 @@
         Self {
             runs_by_key: BTreeMap::new(),
             agent_queries: BTreeMap::new(),
-            batches: WriteBatcher::default(),
+            batcher: WriteBatcher::default(),
             pending_reads: Vec::new(),
             reads_in_flight: BTreeMap::new(),
             unwritten_outcomes: BTreeMap::new(),
@@ -223,7 +223,7 @@
             && self.runs_by_caller.is_empty()
             && self.unwritten_outcomes.is_empty()
             && self.outcomes_to_retry.is_empty()
-            && self.batches.is_empty()
+            && self.batcher.is_empty()
     }
 
     pub(crate) fn set_timer(&mut self, at: Instant, timer: Timer) {
--- a/components/request/src/run.rs
+++ b/components/request/src/run.rs
@@ -28,7 +28,7 @@
     pub request: RequestId,
     pub accepted: Instant,
     pub deadline: Instant,
-    pub head_sent: bool,
+    pub is_head_sent: bool,
     pub sent: u64,
     pub consumed: u64,
     pub first_byte_ms: Option<Duration>,
--- a/components/request/src/submit.rs
+++ b/components/request/src/submit.rs
@@ -187,8 +187,8 @@
         if first_try && (queue.len() >= limit || excess.is_some()) {
             let detail = "too many requests are queued for this service";
             let retry = excess.unwrap_or_default().max(RETRY_MS);
-            let refusal = RefusalCause::new(RefusalReason::Overloaded, Some(retry), detail);
-            self.refuse(cx, id, &refusal);
+            let cause = RefusalCause::new(RefusalReason::Overloaded, Some(retry), detail);
+            self.refuse(cx, id, &cause);
             return;
         }
         queue.push(cx.now, id, priority, deadline, run.accepted);
@@ -242,7 +242,7 @@
         request,
         accepted: now,
         deadline,
-        head_sent: false,
+        is_head_sent: false,
         sent: 0,
         consumed: 0,
         first_byte_ms: None,
--- a/components/request/src/takeover.rs
+++ b/components/request/src/takeover.rs
@@ -1,4 +1,7 @@
 //! Takeover of another entry's claim, after asking the agent whether it started the attempt.
+//!
+//! The query is a `Forbid` message: an agent that has not started the attempt does not start it
+//! afterwards.
 
 use std::time::Duration;
 
--- a/components/request/src/wait_estimate.rs
+++ b/components/request/src/wait_estimate.rs
@@ -67,8 +67,8 @@
         let ahead = f64::from(u32::try_from(ahead).unwrap_or(u32::MAX));
         // The added departure keeps the estimate low until departures have been observed.
         let wait_s = ahead * self.backlogged_s / (self.departures + 1.0);
-        let mean_service_s = self.mean_service_s + DEVIATION_FACTOR * self.mean_deviation_s;
-        Duration::try_from_secs_f64(wait_s + mean_service_s).unwrap_or(Duration::MAX)
+        let service_s = self.mean_service_s + DEVIATION_FACTOR * self.mean_deviation_s;
+        Duration::try_from_secs_f64(wait_s + service_s).unwrap_or(Duration::MAX)
     }
 
     fn decay(&mut self, now: Instant) {
