--- a/components/request/src/answer.rs
+++ b/components/request/src/answer.rs
@@ -1,7 +1,7 @@
 //! Assembly of one answer from the chunks of its attempts.
 //!
-//! Bytes that callers have are never sent twice. A later attempt starts again at offset 0; its
-//! bytes are held back until they have reproduced what callers already have.
+//! Callers receive every byte at most once. A later attempt starts again at offset 0; its bytes are
+//! compared with the prefix that callers already have, by digest, and relayed only beyond it.
 
 use std::rc::Rc;
 
@@ -10,135 +10,136 @@
 use wire::AnswerDigest;
 use wire::Digest;
 
-use crate::kept::HeldBytes;
-use crate::kept::Kept;
+use crate::retained::MemoryBudget;
+use crate::retained::RetainedBody;
 
-/// Head of an answer.
+/// Status and header fields of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerHead {
     /// HTTP status.
     pub status: u16,
     /// Media type.
     pub content_type: String,
-    /// Other fields that callers get.
+    /// Other header fields that are passed to callers.
     pub headers: Headers,
 }
 
 impl AnswerHead {
-    /// Whether bodies under both heads may be parts of the same representation. Other fields,
-    /// such as `Date`, differ from attempt to attempt.
-    fn describes_same(&self, other: &Self) -> bool {
-        let describes = |header: &&Header| {
+    /// Whether both heads describe the same representation, so that their bodies can be joined.
+    /// Other fields, such as `Date`, may differ between attempts.
+    fn is_same_representation(&self, other: &Self) -> bool {
+        let describes_content = |header: &&Header| {
             header.name.starts_with("content-")
                 || matches!(header.name.as_str(), "etag" | "last-modified" | "location")
         };
         self.status == other.status
             && self.content_type == other.content_type
-            && (self.headers.iter().filter(describes)).eq(other.headers.iter().filter(describes))
+            && (self.headers.iter().filter(describes_content))
+                .eq(other.headers.iter().filter(describes_content))
     }
 }
 
-/// What became of a part of an answer.
+/// Effect of a received part on the assembled answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// New for the callers.
-    Fresh(Vec<u8>),
-    /// Nothing new.
-    Nothing,
-    /// Something before it is missing; the agent has to send from `received` again.
+    /// Bytes to relay to the callers.
+    New(Vec<u8>),
+    /// Nothing to relay.
+    Unchanged,
+    /// An earlier part is missing; the agent has to resume at offset `received`.
     Gap,
-    /// It contradicts what callers already have, or its own digest.
+    /// The part differs from what callers already have, or from its own digest.
     Mismatch,
 }
 
-/// Answer of one run, over all of its attempts.
+/// Answer of one run, assembled over all of its attempts.
 #[derive(Default)]
 pub struct Answer {
     head: Option<AnswerHead>,
-    head_of_attempt: bool,
+    has_attempt_head: bool,
     current: AnswerDigest,
     relayed: u64,
     prefix: Option<(u64, Digest)>,
-    kept: Option<Rc<Kept>>,
+    retained: Option<Rc<RetainedBody>>,
 }
 
 impl Answer {
-    /// Keeps the bytes as well, for joiners and for storage, as far as the limits allow.
+    /// Starts an answer whose body is retained for resends and storage, as far as the limits allow.
     #[must_use]
-    pub fn keeping(held: &HeldBytes) -> Self {
+    pub fn retaining(budget: &MemoryBudget) -> Self {
         Self {
-            kept: Some(Rc::new(Kept::new(held))),
+            retained: Some(Rc::new(RetainedBody::new(budget))),
             ..Self::default()
         }
     }
 
-    /// Status and media type, once known.
+    /// Head of the first attempt that sent one.
     #[must_use]
     pub fn head(&self) -> Option<&AnswerHead> {
         self.head.as_ref()
     }
 
-    /// Bytes of the current attempt.
+    /// Number of body bytes received from the current attempt.
     #[must_use]
     pub fn received(&self) -> u64 {
         self.current.length()
     }
 
-    /// All bytes so far, unless a limit was exceeded.
+    /// The body so far; `None` if it is not retained or exceeded a limit.
     #[must_use]
-    pub fn kept(&self) -> Option<&[u8]> {
-        self.kept.as_ref().map(|kept| kept.bytes())
+    pub fn retained(&self) -> Option<&[u8]> {
+        self.retained.as_ref().map(|retained| retained.bytes())
     }
 
-    /// The same bytes, to be held beyond the life of the run.
-    pub(crate) fn share_kept(&self) -> Option<Rc<Kept>> {
-        self.kept.clone()
+    /// Shares the retained body, which then outlives the run.
+    pub(crate) fn share_retained(&self) -> Option<Rc<RetainedBody>> {
+        self.retained.clone()
     }
 
-    /// Bytes handed to callers.
+    /// Number of body bytes relayed to callers.
     #[must_use]
     pub fn relayed(&self) -> u64 {
         self.relayed
     }
 
-    /// A new attempt begins.
+    /// Starts the answer of a new attempt.
     pub fn restart(&mut self) {
-        let held = std::mem::take(&mut self.current);
-        self.head_of_attempt = false;
-        // An attempt that was lost while it still repeated the prefix does not shorten it.
-        if held.length() >= self.relayed && self.relayed > 0 {
-            self.prefix = Some((self.relayed, held.digest()));
+        let previous = std::mem::take(&mut self.current);
+        self.has_attempt_head = false;
+        // If the attempt ended before it had repeated the whole prefix, the known prefix remains.
+        if previous.length() >= self.relayed && self.relayed > 0 {
+            self.prefix = Some((self.relayed, previous.digest()));
         }
     }
 
-    /// The attempt's head arrived. `Fresh` (empty) if callers do not have one yet.
-    pub fn take_head(&mut self, head: AnswerHead) -> Progress {
-        self.head_of_attempt = true;
+    /// Receives the head of the attempt. Returns an empty `New` if callers have no head yet.
+    pub fn receive_head(&mut self, head: AnswerHead) -> Progress {
+        self.has_attempt_head = true;
         match &self.head {
             None => {
                 self.head = Some(head);
-                Progress::Fresh(Vec::new())
+                Progress::New(Vec::new())
             }
-            Some(known) if known.describes_same(&head) => Progress::Nothing,
+            Some(known) if known.is_same_representation(&head) => Progress::Unchanged,
             Some(_) => Progress::Mismatch,
         }
     }
 
-    /// Bytes of the attempt arrived.
-    pub fn take_chunk(&mut self, offset: u64, mut bytes: Vec<u8>) -> Progress {
+    /// Receives body bytes of the attempt, starting at `offset`.
+    pub fn receive_chunk(&mut self, offset: u64, mut bytes: Vec<u8>) -> Progress {
         let received = self.received();
-        if !self.head_of_attempt || offset > received {
+        if !self.has_attempt_head || offset > received {
             return Progress::Gap;
         }
         let known = usize::try_from(received - offset).unwrap_or(usize::MAX);
         if bytes.len() <= known {
-            return Progress::Nothing;
+            return Progress::Unchanged;
         }
         bytes.drain(..known);
-        self.take_next(bytes)
+        self.append_new(bytes)
     }
 
-    fn take_next(&mut self, mut bytes: Vec<u8>) -> Progress {
+    fn append_new(&mut self, mut bytes: Vec<u8>) -> Progress {
         if let Some((length, digest)) = self.prefix {
             let missing = length - self.received();
             let repeated = usize::try_from(missing).map_or(bytes.len(), |n| n.min(bytes.len()));
@@ -152,31 +153,31 @@
             }
         }
         if bytes.is_empty() {
-            return Progress::Nothing;
+            return Progress::Unchanged;
         }
         self.current.push(&bytes);
         self.relayed += bytes.len() as u64;
-        self.keep(&bytes);
-        Progress::Fresh(bytes)
+        self.retain_bytes(&bytes);
+        Progress::New(bytes)
     }
 
-    fn keep(&mut self, bytes: &[u8]) {
-        // Nobody else holds the bytes of an answer that still grows.
-        let pushed = self.kept.as_mut().and_then(Rc::get_mut);
-        if !pushed.is_some_and(|kept| kept.push(bytes)) {
-            self.kept = None;
+    fn retain_bytes(&mut self, bytes: &[u8]) {
+        // The body is shared only once the answer is complete, so `get_mut` succeeds until then.
+        let pushed = self.retained.as_mut().and_then(Rc::get_mut);
+        if !pushed.is_some_and(|retained| retained.push(bytes)) {
+            self.retained = None;
         }
     }
 
-    /// The attempt's end arrived. `Nothing` means that the answer is whole.
+    /// Receives the end of the attempt. Returns `Unchanged` if the answer is complete.
     #[must_use]
-    pub fn take_end(&self, length: u64, digest: &Digest) -> Progress {
-        if !self.head_of_attempt || self.received() < length {
+    pub fn receive_end(&self, length: u64, digest: &Digest) -> Progress {
+        if !self.has_attempt_head || self.received() < length {
             return Progress::Gap;
         }
         if self.received() > length || self.prefix.is_some() || self.current.digest() != *digest {
             return Progress::Mismatch;
         }
-        Progress::Nothing
+        Progress::Unchanged
     }
 }
--- a/components/request/src/batch.rs
+++ b/components/request/src/batch.rs
@@ -1,9 +1,10 @@
-//! Writes of claim rows, committed in batches.
+//! Batches claim writes into table transactions.
 //!
-//! Writes that arrive within a few milliseconds share a transaction, because the table takes
-//! several hundred writes a second for all entries together. A write whose row has changed is
-//! taken out of its batch, and the others are sent again. Every write carries a token: a row
-//! with the token of a write is that write, whatever became of its reply.
+//! Writes that arrive within a few milliseconds share a transaction, because the table accepts only
+//! several hundred writes a second from all entries together. If a transaction conflicts, the
+//! writes whose rows have changed are removed and the others are committed again. Every write
+//! carries a unique token, so a row with that token proves that the write took effect even if its
+//! reply was lost.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -25,114 +26,119 @@
 use crate::claim::EPOCH_KEY;
 use crate::claim::EpochRow;
 
-/// Time that a write waits for others.
-const BATCH_MS: Duration = Duration::from_millis(5);
-/// Least time between two transactions that are not full. 20 a second leave half of a process's
-/// write budget to changes, leases and retries.
-const SPACING_MS: Duration = Duration::from_millis(50);
-/// Writes in one transaction.
-const BATCH_LIMIT: usize = 32;
-/// Stored answers in one transaction; an outage would make one of 32 large answers fail as a
-/// whole again and again.
+/// Time that the first write of a batch waits for others.
+const BATCH_DELAY_MS: Duration = Duration::from_millis(5);
+/// Minimum time between two transactions that are not full. At 20 a second, half of the write
+/// budget of a process is left for configuration changes, leases and retries.
+const MIN_COMMIT_INTERVAL_MS: Duration = Duration::from_millis(50);
+/// Maximum number of writes in one transaction.
+const BATCH_LIMIT_WRITES: usize = 32;
+/// Body bytes of stored answers that make a batch full. During an outage, a transaction with 32
+/// large answers would fail as a whole on every retry.
 const BATCH_LIMIT_BYTES: usize = 512 << 10;
 
-/// What a write is for.
+/// Purpose of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// A run wants to dispatch.
-    Take(RequestId),
-    /// A run has ended.
-    Outcome,
+    /// Takes the claim for this run, which is dispatched after the commit.
+    TakeClaim(RequestId),
+    /// Records how a run ended.
+    RecordOutcome,
 }
 
-/// One write of a claim row.
+/// Conditional write of a claim row.
 #[derive(Debug, Clone)]
 pub struct Write {
-    /// Row key.
+    /// Key of the row.
     pub key: String,
-    /// Version that the row must have.
+    /// Version that the row must still have; 0 if it must not exist.
     pub version: RowVersion,
-    /// New value. `expires_epoch` is set when a claim is taken.
+    /// New value. `expires_epoch` is filled in at the commit that takes the claim.
     pub row: ClaimRow,
-    /// Epochs that the row is kept for.
-    pub epochs_kept: u64,
-    /// What it is for.
+    /// Number of epochs after which the row expires.
+    pub retention_epochs: u64,
+    /// What the write is part of.
     pub purpose: Purpose,
 }
 
-/// How a write ended.
+/// Result of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteEnd {
-    /// In force, at this version.
+    /// Committed at this version.
     Committed(RowVersion),
-    /// Written, and changed by someone else since.
+    /// Committed, and changed by another writer since.
     Overwritten,
-    /// Not written: the row is now this one.
+    /// Not committed because the row had changed; carries the current row.
     Changed(Option<Row>),
-    /// Not written: the table does not answer.
+    /// Not committed because the table is unavailable.
     Unavailable,
-    /// Possibly written, now or later.
+    /// The table did not answer; the write may have taken effect or may still do so.
     Unanswered,
 }
 
 struct InFlight {
     writes: Vec<Write>,
-    /// Reads the rows, after a conflict that did not name any of them.
-    reading: bool,
+    /// The call reads the rows, after a conflict that named none of them.
+    is_read: bool,
 }
 
-/// Writes that wait or are under way.
+/// Claim writes that are pending or in flight.
 #[derive(Default)]
-pub struct Batches {
+pub struct WriteBatcher {
     pending: Vec<Write>,
     pending_bytes: usize,
-    flush_at: Option<Instant>,
-    flushed_at: Option<Instant>,
+    next_flush_at: Option<Instant>,
+    last_flush_at: Option<Instant>,
     in_flight: HashMap<u64, InFlight>,
     epoch: u64,
     epoch_version: RowVersion,
 }
 
-impl Batches {
-    /// Whether nothing waits and nothing is under way.
+impl WriteBatcher {
+    /// Whether no write is pending or in flight.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Adds a write and returns when to call `flush`.
+    /// Adds a write and returns the time at which to call `flush`.
     pub fn push(&mut self, now: Instant, write: Write) -> Instant {
         self.pending_bytes += write.row.answer.as_ref().map_or(0, |a| a.body.len());
         self.pending.push(write);
-        let full = self.pending.len() >= BATCH_LIMIT || self.pending_bytes >= BATCH_LIMIT_BYTES;
-        let spaced = self.flushed_at.map_or(now, |at| at + SPACING_MS);
-        let at = self.flush_at.unwrap_or(spaced.max(now + BATCH_MS));
-        let at = if full { now } else { at };
-        self.flush_at = Some(at);
+        let is_full =
+            self.pending.len() >= BATCH_LIMIT_WRITES || self.pending_bytes >= BATCH_LIMIT_BYTES;
+        let earliest = self
+            .last_flush_at
+            .map_or(now, |at| at + MIN_COMMIT_INTERVAL_MS);
+        let at = self
+            .next_flush_at
+            .unwrap_or(earliest.max(now + BATCH_DELAY_MS));
+        let at = if is_full { now } else { at };
+        self.next_flush_at = Some(at);
         at
     }
 
-    /// Starts the next transaction if it is due.
+    /// Returns the next transaction if it is due.
     pub fn flush(&mut self, now: Instant, operation: u64) -> Option<TableRequest> {
-        if self.flush_at.is_none_or(|at| at > now) {
+        if self.next_flush_at.is_none_or(|at| at > now) {
             return None;
         }
-        self.flushed_at = Some(now);
+        self.last_flush_at = Some(now);
         let writes = self.next_batch();
         self.pending_bytes = 0;
-        self.flush_at = (!self.pending.is_empty()).then_some(now);
+        self.next_flush_at = (!self.pending.is_empty()).then_some(now);
         self.commit(operation, writes)
     }
 
-    /// Takes the first write of each row. Two writes of one row under the same version would
-    /// both succeed in one transaction, and the run of the first would take the claim of the
-    /// second for its own. In a transaction of its own, the second meets a changed row.
+    /// Takes the first pending write of each row. In one transaction, two writes of a row under the
+    /// same version would both succeed, and the run of the first would treat the claim of the
+    /// second as its own. In separate transactions, the second one conflicts.
     fn next_batch(&mut self) -> Vec<Write> {
         let mut keys = BTreeSet::new();
         let mut batch = Vec::new();
         let mut rest = Vec::new();
         for write in std::mem::take(&mut self.pending) {
-            if batch.len() < BATCH_LIMIT && keys.insert(write.key.clone()) {
+            if batch.len() < BATCH_LIMIT_WRITES && keys.insert(write.key.clone()) {
                 batch.push(write);
             } else {
                 rest.push(write);
@@ -142,44 +148,44 @@
         batch
     }
 
-    /// Whether the operation belongs to a batch.
+    /// Whether the operation is a call of this batcher.
     #[must_use]
     pub fn owns(&self, operation: u64) -> bool {
         self.in_flight.contains_key(&operation)
     }
 
-    /// Takes the end of an operation. Returns the writes that have ended, and a request to be
-    /// made under the number `next` for the others.
-    pub fn done(
+    /// Processes the result of an operation. Returns the writes that have ended, and a request for
+    /// the others that is to be sent as operation `next`.
+    pub fn complete(
         &mut self,
         operation: u64,
         result: Result<TableReply, StoreError>,
         next: u64,
     ) -> (Vec<(Write, WriteEnd)>, Option<TableRequest>) {
-        let Some(InFlight { writes, reading }) = self.in_flight.remove(&operation) else {
+        let Some(InFlight { writes, is_read }) = self.in_flight.remove(&operation) else {
             return (Vec::new(), None);
         };
         match result {
-            Ok(TableReply::Commit(CommitOutcome::Committed(versions))) if !reading => {
+            Ok(TableReply::Commit(CommitOutcome::Committed(versions))) if !is_read => {
                 (committed(writes, &versions), None)
             }
-            Ok(TableReply::Commit(CommitOutcome::Conflict(rows))) if !reading => {
+            Ok(TableReply::Commit(CommitOutcome::Conflict(rows))) if !is_read => {
                 if rows.is_empty() {
                     return (Vec::new(), Some(self.read(next, writes)));
                 }
-                let (ended, rest) = self.sort_out(writes, rows, false);
+                let (ended, rest) = self.split_by_conflict(writes, rows, false);
                 (ended, self.commit(next, rest))
             }
-            Ok(TableReply::Rows(rows)) if reading => {
-                let (ended, rest) = self.sort_out(writes, rows, true);
+            Ok(TableReply::Rows(rows)) if is_read => {
+                let (ended, rest) = self.split_by_conflict(writes, rows, true);
                 (ended, self.commit(next, rest))
             }
             Err(StoreError::Unavailable(_) | StoreError::RateLimited) => {
-                (all_ended(writes, &WriteEnd::Unavailable), None)
+                (with_outcome(writes, &WriteEnd::Unavailable), None)
             }
-            // A read that fails has written nothing, and neither has the commit before it.
-            Err(_) | Ok(_) if reading => (all_ended(writes, &WriteEnd::Unavailable), None),
-            Err(_) | Ok(_) => (all_ended(writes, &WriteEnd::Unanswered), None),
+            // The read follows a commit that conflicted, so nothing was written.
+            Err(_) | Ok(_) if is_read => (with_outcome(writes, &WriteEnd::Unavailable), None),
+            Err(_) | Ok(_) => (with_outcome(writes, &WriteEnd::Unanswered), None),
         }
     }
 
@@ -192,11 +198,11 @@
             ..Transaction::default()
         };
         for (index, write) in writes.iter_mut().enumerate() {
-            // Without it, a row that an earlier transaction wrote would prove this one, and the
-            // other writes would be taken for done.
+            // Without this number, a row written by an earlier transaction would be accepted as
+            // proof of this one, and the other writes would be reported as committed.
             write.row.proves = (index == 0).then_some(operation);
-            if matches!(write.purpose, Purpose::Take(_)) {
-                write.row.expires_epoch = self.epoch + write.epochs_kept;
+            if matches!(write.purpose, Purpose::TakeClaim(_)) {
+                write.row.expires_epoch = self.epoch + write.retention_epochs;
             }
             transaction.checks.push(Check {
                 key: write.key.clone(),
@@ -211,24 +217,24 @@
             key: EPOCH_KEY.to_owned(),
             version: self.epoch_version,
         });
-        let reading = false;
+        let is_read = false;
         self.in_flight
-            .insert(operation, InFlight { writes, reading });
+            .insert(operation, InFlight { writes, is_read });
         Some(TableRequest::Commit(transaction))
     }
 
     fn read(&mut self, operation: u64, writes: Vec<Write>) -> TableRequest {
         let keys = writes.iter().map(|write| write.key.clone());
         let keys = keys.chain([EPOCH_KEY.to_owned()]).collect();
-        let reading = true;
+        let is_read = true;
         self.in_flight
-            .insert(operation, InFlight { writes, reading });
+            .insert(operation, InFlight { writes, is_read });
         TableRequest::Read(keys)
     }
 
-    /// Separates writes whose row has changed from those to be sent again. With `complete`,
-    /// a row that is not listed is absent; otherwise it is as expected.
-    fn sort_out(
+    /// Separates the writes whose row has changed from those to commit again. If `complete` is set,
+    /// a row that is not in `rows` does not exist; otherwise it is unchanged.
+    fn split_by_conflict(
         &mut self,
         writes: Vec<Write>,
         rows: Vec<Row>,
@@ -270,20 +276,21 @@
 
 fn committed(writes: Vec<Write>, versions: &[RowVersion]) -> Vec<(Write, WriteEnd)> {
     if versions.len() != writes.len() {
-        return all_ended(writes, &WriteEnd::Unanswered);
+        return with_outcome(writes, &WriteEnd::Unanswered);
     }
     writes
         .into_iter()
         .zip(versions.iter().copied())
         .map(|(write, version)| match version {
-            // A lost reply was resolved by the proof row, and this row has changed since.
+            // The reply was lost and the commit was proved by its proof row; this row has changed
+            // since.
             0 => (write, WriteEnd::Overwritten),
             version => (write, WriteEnd::Committed(version)),
         })
         .collect()
 }
 
-fn all_ended(writes: Vec<Write>, end: &WriteEnd) -> Vec<(Write, WriteEnd)> {
+fn with_outcome(writes: Vec<Write>, end: &WriteEnd) -> Vec<(Write, WriteEnd)> {
     writes
         .into_iter()
         .map(|write| (write, end.clone()))
--- a/components/request/src/lib.rs
+++ b/components/request/src/lib.rs
@@ -1,6 +1,8 @@
-//! Life of a request: admission, claims, attempts and the assembly of its answer.
+//! Request lifecycle at an entry: admission, idempotency claims, dispatch, retries and the assembly
+//! of answers.
 //!
-//! A state machine without I/O. The entry feeds it events and carries out its actions.
+//! The crate is a state machine without I/O. The entry passes in events and carries out the actions
+//! that each event returns.
 
 pub mod action;
 pub mod answer;
@@ -12,22 +14,22 @@
 mod dispatch;
 pub mod event;
 mod finish;
-pub mod kept;
+pub mod hang_ups;
 mod objects;
 mod outcomes;
-pub mod pace;
-pub mod patience;
 pub mod queue;
 mod refusal;
 mod relay;
+mod replay;
 pub mod requests;
+pub mod retained;
 pub mod router;
 mod run;
-mod sending;
 mod submit;
 pub mod sweep;
 mod takeover;
 mod tokens;
+pub mod wait_estimate;
 pub mod window;
 
 pub use action::Action;
--- a/components/request/src/run.rs
+++ b/components/request/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: the work of one request, and of the resends that joined it.
+//! A run: one execution of a request on behalf of its caller and of the resends that joined it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,30 +22,30 @@
 use crate::event::Terms;
 use crate::router::Need;
 
-/// A caller that waits for the answer.
+/// A caller that waits for the answer of a run.
 #[derive(Debug)]
 pub(crate) struct Waiter {
     pub request: RequestId,
     pub accepted: Instant,
     pub deadline: Instant,
-    pub head_sent: bool,
+    pub is_head_sent: bool,
     pub sent: u64,
     pub consumed: u64,
     pub first_byte_ms: Option<Duration>,
 }
 
-/// The attempt in progress.
+/// The attempt of a run that is in progress.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub id: AttemptId,
     pub target: TargetName,
     pub incarnation: Incarnation,
-    /// Offset up to which the agent may send.
-    pub granted: u64,
-    /// Offset from which the agent was asked to send again.
-    pub resumed_at: Option<u64>,
-    /// Sent by this entry, so the router keeps account of it.
-    pub own: bool,
+    /// Offset up to which the agent has credit to send.
+    pub granted_offset: u64,
+    /// Offset at which the agent was last asked to resume.
+    pub resume_offset: Option<u64>,
+    /// The attempt was dispatched by this entry, so the router tracks it.
+    pub is_own: bool,
 }
 
 /// Claim of a non-idempotent run.
@@ -53,36 +53,37 @@
 pub(crate) struct Claim {
     pub key: String,
     pub digest: String,
-    /// Version of the row as last seen; 0 for an absent one.
+    /// Version of the row as last seen; 0 if there is no row.
     pub version: RowVersion,
-    /// The row at this version was written by this run.
-    pub held: Option<Box<ClaimRow>>,
-    /// The caller gave a key, so that resends can ask for the outcome.
-    pub keyed: bool,
-    /// Times that another entry's claim was met.
-    pub contests: u32,
+    /// Row that names the attempt of this run, written by this run or by the entry whose attempt it
+    /// follows; `None` before that.
+    pub current_row: Option<Box<ClaimRow>>,
+    /// The caller sent an `Idempotency-Key`, so resends can find the outcome.
+    pub has_key: bool,
+    /// Number of times that the claim was resolved, up to a limit.
+    pub resolutions: u32,
 }
 
-/// Where a run stands.
+/// Phase of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Its claim is being read.
+    /// The claim is being read.
     Reading,
-    /// In the admission queue.
+    /// Waiting in the admission queue.
     Queued,
-    /// Its claim is being written for an attempt at that run of a target.
+    /// The claim is being written, for an attempt at this incarnation of this target.
     Claiming(TargetName, Incarnation),
-    /// Another entry holds the claim; its agent is asked whether the attempt was started.
-    Enquiring(Box<ClaimRow>),
-    /// Another submission ran; its answer is being read from the object store.
+    /// Another entry holds the claim; the agent is asked whether it started the attempt.
+    QueryingAgent(Box<ClaimRow>),
+    /// An earlier submission ran; its answer is being read from the object store.
     Fetching(Box<StoredObject>),
-    /// Waits for the retry budget.
+    /// Waiting for the retry budget.
     Delayed,
     /// An attempt is in progress.
     Running,
 }
 
-/// One run.
+/// One execution of a request, with all of its attempts and callers.
 pub(crate) struct Run {
     pub id: RequestId,
     pub submission: Submission,
@@ -91,33 +92,33 @@
     pub idempotent: bool,
     pub waiters: SmallVec<[Waiter; 1]>,
     pub phase: Phase,
-    /// Number of the last attempt.
-    pub attempts: u32,
-    /// Attempts that were sent.
-    pub dispatches: u32,
-    pub tried: SmallVec<[TargetName; 2]>,
-    /// What is told of the attempts when the run ends.
+    /// Number of the last attempt; the first one is 1.
+    pub attempt_no: u32,
+    /// Number of attempts that count against the attempt limit.
+    pub counted_attempts: u32,
+    pub tried_targets: SmallVec<[TargetName; 2]>,
+    /// Attempts to report when the run ends.
     pub history: SmallVec<[AttemptSummary; 1]>,
     pub attempt: Option<Attempt>,
     pub answer: Answer,
-    /// Only for non-idempotent work.
+    /// `None` for idempotent work.
     pub claim: Option<Claim>,
     pub accepted: Instant,
-    /// Time by which the table must have answered.
-    pub table_due: Option<Instant>,
-    /// An earlier attempt may have run, in part or whole.
-    pub touched: bool,
+    /// Time-out of the call to the table or the object store in flight.
+    pub store_deadline: Option<Instant>,
+    /// An earlier attempt may have been executed, in part or completely.
+    pub may_have_executed: bool,
 }
 
 impl Run {
-    /// Time by which the last caller wants its answer.
+    /// Latest deadline of all callers.
     pub fn deadline(&self) -> Instant {
         self.need.deadline
     }
 
-    /// Notes that an attempt was sent.
+    /// Records the dispatch of an attempt.
     pub fn attempt_started(&mut self, now: Instant, target: TargetName) {
-        self.tried.push(target.clone());
+        self.tried_targets.push(target.clone());
         self.history.push(AttemptSummary {
             target,
             start_ms: now.saturating_duration_since(self.accepted),
@@ -125,7 +126,7 @@
         });
     }
 
-    /// Notes how the last attempt ended.
+    /// Records how the last attempt ended.
     pub fn attempt_ended(&mut self, now: Instant, end: AttemptEnd) {
         let since = now.saturating_duration_since(self.accepted);
         if let Some(last) = self.history.last_mut() {
@@ -133,29 +134,29 @@
         }
     }
 
-    /// What may be said of the run if it ended now.
+    /// Run state to report if the run ended now.
     pub fn state(&self) -> RunState {
-        let elsewhere = matches!(self.phase, Phase::Enquiring(_) | Phase::Fetching(_));
-        if self.touched || self.attempt.is_some() || elsewhere {
+        let is_elsewhere = matches!(self.phase, Phase::QueryingAgent(_) | Phase::Fetching(_));
+        if self.may_have_executed || self.attempt.is_some() || is_elsewhere {
             return RunState::Unknown;
         }
         RunState::NotRun
     }
 
-    /// Offset up to which the slowest caller has taken the answer.
+    /// Offset up to which the slowest caller has consumed the answer.
     pub fn consumed(&self) -> u64 {
         let slowest = self.waiters.iter().map(|waiter| waiter.consumed).min();
         slowest.unwrap_or_else(|| self.answer.received())
     }
 }
 
-/// What a target must have for a submission.
-pub(crate) fn need_of(submission: &Submission, terms: &Terms, deadline: Instant) -> Need {
+/// Requirements of a submission under the configuration of its service.
+pub(crate) fn need_for(submission: &Submission, terms: &Terms, deadline: Instant) -> Need {
     let work = &submission.work;
     Need {
         service: work.service.clone(),
         kind: terms.kind,
-        needs: loaded_for(submission, terms),
+        needs: required_models(submission, terms),
         priority: terms.profile.priority,
         prompt_tokens: work.prompt_tokens,
         max_output_tokens: work.max_output_tokens,
@@ -167,7 +168,7 @@
     }
 }
 
-fn loaded_for(submission: &Submission, terms: &Terms) -> Loaded {
+fn required_models(submission: &Submission, terms: &Terms) -> Loaded {
     let profile = &terms.profile;
     if terms.kind == ServiceKind::Plain {
         return Loaded::default();
