--- a/components/agent/src/admission.rs
+++ b/components/agent/src/admission.rs
@@ -1,4 +1,4 @@
-//! Messages about attempts: dispatch, body, resume, credit, cancel and forbid.
+//! Handlers of the messages about attempts: dispatch, body, resume, credit, cancel and forbid.
 
 use std::time::Instant;
 
@@ -16,15 +16,15 @@
 use crate::attempts::Attempts;
 use crate::event::Action;
 use crate::event::ConnectionId;
-use crate::memory::Fate;
-use crate::memory::Recall;
-use crate::report::Note;
+use crate::log_event::LogEvent;
+use crate::memory::Lookup;
+use crate::memory::Record;
 
-const DETAIL_LOST: &str = "the attempt was started here and its answer is no longer held";
-const DETAIL_FORGOTTEN: &str = "the attempt is too old for this agent to know whether it ran";
+const DETAIL_LOST: &str = "the attempt was started, but its answer is no longer kept";
+const DETAIL_EVICTED: &str = "the attempt is too old for this agent to know whether it ran";
 
 impl Attempts {
-    /// Takes or rejects an attempt.
+    /// Accepts or rejects an attempt.
     pub fn dispatch(
         &mut self,
         now: Instant,
@@ -39,42 +39,42 @@
             return;
         }
         if dispatch.work.body.len() as u64 > dispatch.body_bytes {
-            refuse_connection(connection, "body longer than announced", out);
+            refuse_connection(connection, "request body exceeds its announced length", out);
             return;
         }
         if self
-            .live
+            .by_id
             .get(&id)
-            .is_some_and(|at| at.phase == Phase::Receiving)
+            .is_some_and(|attempt| attempt.phase == Phase::Receiving)
         {
-            // The entry starts over on another connection; nothing was started here.
+            // The entry dispatches again on another connection; the attempt has not started.
             self.remove_waiting(id);
             self.admit(now, connection, dispatch, out);
             return;
         }
-        if self.live.contains_key(&id) {
-            self.read_from(now, connection, id, 0, dispatch.credit_bytes, out);
+        if self.by_id.contains_key(&id) {
+            self.attach_reader(now, connection, id, 0, dispatch.credit_bytes, out);
             return;
         }
-        match self.recall(id, dispatch.idempotent) {
-            Recall::New => self.admit(now, connection, dispatch, out),
-            Recall::Known(Fate::Forbidden) | Recall::Superseded => {
+        match self.lookup(id, dispatch.idempotent) {
+            Lookup::New => self.admit(now, connection, dispatch, out),
+            Lookup::Found(Record::Forbidden) | Lookup::Superseded => {
                 self.reject(now, connection, id, Rejection::Forbidden, out);
             }
-            Recall::Known(Fate::Started) => send_failed(connection, id, DETAIL_LOST, out),
-            Recall::Forgotten => send_failed(connection, id, DETAIL_FORGOTTEN, out),
+            Lookup::Found(Record::Started) => send_failed(connection, id, DETAIL_LOST, out),
+            Lookup::Evicted => send_failed(connection, id, DETAIL_EVICTED, out),
         }
     }
 
-    fn recall(&self, id: AttemptId, idempotent: bool) -> Recall {
-        match self.memory.recall(id) {
-            Recall::New => {}
-            Recall::Forgotten if idempotent => {}
+    fn lookup(&self, id: AttemptId, idempotent: bool) -> Lookup {
+        match self.history.lookup(id) {
+            Lookup::New => {}
+            Lookup::Evicted if idempotent => {}
             known => return known,
         }
-        match self.recent.recall(id) {
-            // Running an idempotent attempt again does no harm.
-            Recall::Forgotten => Recall::New,
+        match self.idempotent_history.lookup(id) {
+            // An evicted idempotent attempt may run again without harm.
+            Lookup::Evicted => Lookup::New,
             known => known,
         }
     }
@@ -87,32 +87,32 @@
         out: &mut Vec<Action>,
     ) {
         let id = dispatch.attempt;
-        if let Some(reason) = self.refusal(now, &dispatch, out) {
-            // A copy of the dispatch on another connection must not run after this answer.
+        if let Some(reason) = self.rejection_reason(now, &dispatch, out) {
+            // A duplicate of the dispatch on another connection must not run after this rejection.
             if !dispatch.idempotent {
-                self.memory.set(id, Fate::Forbidden);
+                self.history.record(id, Record::Forbidden);
             }
             self.reject(now, connection, id, reason, out);
             return;
         }
         let attempt = Attempt::new(now, connection, dispatch);
-        let whole = attempt.body_bytes == body_length(&attempt);
+        let is_whole = attempt.body_bytes == body_length(&attempt);
         self.receiving += 1;
         self.waiting_bytes += attempt.body_bytes;
         self.load.queued_tokens += u64::from(attempt.prompt_tokens);
-        self.live.insert(id, attempt);
+        self.by_id.insert(id, attempt);
         out.push(Action::Send {
             connection,
             message: ToEntry::Accepted { attempt: id },
         });
-        if whole {
+        if is_whole {
             self.enqueue(now, id);
             self.start_next(now, out);
         }
         self.update_counts();
     }
 
-    fn refusal(
+    fn rejection_reason(
         &mut self,
         now: Instant,
         dispatch: &Dispatch,
@@ -127,7 +127,7 @@
         if dispatch.deadline_ms.is_zero() {
             return Some(Rejection::DeadlineExceeded);
         }
-        if !self.load.has(&dispatch.needs) {
+        if !self.load.has_loaded(&dispatch.needs) {
             return Some(Rejection::WrongModel);
         }
         let bodies_bytes = self.waiting_bytes.saturating_add(dispatch.body_bytes);
@@ -139,16 +139,16 @@
         if !self.is_full() {
             return None;
         }
-        // A more urgent attempt takes the place of the last one in the queue.
+        // An attempt of higher priority replaces the last one in the queue.
         let (_, last) = self.last_queued()?;
-        if self.live.get(&last)?.priority <= dispatch.priority {
+        if self.by_id.get(&last)?.priority <= dispatch.priority {
             return Some(Rejection::Overloaded);
         }
         self.reject_waiting(now, last, Rejection::Overloaded, out);
         None
     }
 
-    /// Takes the next bytes of a dispatch's body.
+    /// Appends bytes to the request body of an attempt.
     pub fn body(
         &mut self,
         now: Instant,
@@ -157,16 +157,19 @@
         bytes: &[u8],
         out: &mut Vec<Action>,
     ) {
-        let Some(attempt) = self.live.get_mut(&id) else {
+        let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
-        let is_sender = attempt.readers.iter().any(|at| at.connection == connection);
+        let is_sender = attempt
+            .readers
+            .iter()
+            .any(|reader| reader.connection == connection);
         if attempt.phase != Phase::Receiving || !is_sender {
             return;
         }
         let length = body_length(attempt) + bytes.len() as u64;
         if length > attempt.body_bytes {
-            refuse_connection(connection, "body longer than announced", out);
+            refuse_connection(connection, "request body exceeds its announced length", out);
             return;
         }
         if let Some(work) = &mut attempt.work {
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Sends an answer again from an offset.
+    /// Attaches the entry as a reader, from an offset in the answer.
     pub fn resume(
         &mut self,
         now: Instant,
@@ -188,26 +191,27 @@
         credit_bytes: u32,
         out: &mut Vec<Action>,
     ) {
-        match self.live.get(&id).map(|attempt| &attempt.phase) {
-            // The rest of the body can no longer be told apart from that of another connection.
+        match self.by_id.get(&id).map(|attempt| &attempt.phase) {
+            // Later body parts could come from this or the previous connection, so the body is
+            // ambiguous.
             Some(Phase::Receiving) => {
                 self.remove_waiting(id);
                 self.reject(now, connection, id, Rejection::Forbidden, out);
             }
-            Some(_) => self.read_from(now, connection, id, offset, credit_bytes, out),
-            None => match self.known_fate(id) {
-                Recall::Known(Fate::Started) => send_failed(connection, id, DETAIL_LOST, out),
-                Recall::Forgotten => send_failed(connection, id, DETAIL_FORGOTTEN, out),
-                Recall::New | Recall::Superseded | Recall::Known(Fate::Forbidden) => {
-                    // The dispatch may still arrive on the connection that this one replaced.
-                    self.memory.set(id, Fate::Forbidden);
+            Some(_) => self.attach_reader(now, connection, id, offset, credit_bytes, out),
+            None => match self.lookup_any(id) {
+                Lookup::Found(Record::Started) => send_failed(connection, id, DETAIL_LOST, out),
+                Lookup::Evicted => send_failed(connection, id, DETAIL_EVICTED, out),
+                Lookup::New | Lookup::Superseded | Lookup::Found(Record::Forbidden) => {
+                    // The dispatch may still arrive late on the connection that this one replaced.
+                    self.history.record(id, Record::Forbidden);
                     self.reject(now, connection, id, Rejection::Forbidden, out);
                 }
             },
         }
     }
 
-    fn read_from(
+    fn attach_reader(
         &mut self,
         now: Instant,
         connection: ConnectionId,
@@ -216,7 +220,7 @@
         credit_bytes: u32,
         out: &mut Vec<Action>,
     ) {
-        let Some(attempt) = self.live.get_mut(&id) else {
+        let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
         if offset < attempt.answer.base() || offset > attempt.answer.length() {
@@ -232,15 +236,15 @@
         self.relay(now, id, out);
     }
 
-    /// What is known of an attempt whose kind is not.
-    fn known_fate(&self, id: AttemptId) -> Recall {
-        match self.memory.recall(id) {
-            Recall::New => self.recent.recall(id),
+    /// Looks up an attempt that may be idempotent or not.
+    fn lookup_any(&self, id: AttemptId) -> Lookup {
+        match self.history.lookup(id) {
+            Lookup::New => self.idempotent_history.lookup(id),
             known => known,
         }
     }
 
-    /// Takes an acknowledgement and more credit.
+    /// Applies an acknowledgement and additional credit.
     pub fn credit(
         &mut self,
         now: Instant,
@@ -250,7 +254,7 @@
         bytes: u32,
         out: &mut Vec<Action>,
     ) {
-        let Some(attempt) = self.live.get_mut(&id) else {
+        let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
         let reader = attempt
@@ -263,7 +267,7 @@
         }
     }
 
-    /// The entry no longer wants the answer. A non-idempotent run goes on.
+    /// Detaches an entry that no longer wants the answer. A non-idempotent run continues.
     pub fn cancel(
         &mut self,
         now: Instant,
@@ -271,9 +275,9 @@
         id: AttemptId,
         out: &mut Vec<Action>,
     ) {
-        let Some(attempt) = self.live.get_mut(&id) else {
-            if self.known_fate(id) == Recall::New {
-                self.memory.set(id, Fate::Forbidden);
+        let Some(attempt) = self.by_id.get_mut(&id) else {
+            if self.lookup_any(id) == Lookup::New {
+                self.history.record(id, Record::Forbidden);
             }
             return;
         };
@@ -292,15 +296,15 @@
                 self.start_next(now, out);
             }
             (Phase::Running, false) => {
-                attempt.orphaned = Some(now);
+                attempt.orphaned_since = Some(now);
                 self.relay(now, id, out);
             }
-            (Phase::Done(_) | Phase::Failed(_), true) => self.drop_finished(id),
+            (Phase::Done(_) | Phase::Failed(_), true) => self.evict_finished(id),
             (Phase::Done(_) | Phase::Failed(_), false) => {}
         }
     }
 
-    /// Makes sure that an attempt never starts, unless it has.
+    /// Prevents an attempt from starting, and reports whether it has started already.
     pub fn forbid(
         &mut self,
         now: Instant,
@@ -310,7 +314,7 @@
         out: &mut Vec<Action>,
     ) {
         let outcome = if incarnation == self.limits.incarnation {
-            self.forbid_here(now, id, out)
+            self.resolve_forbid(now, id, out)
         } else {
             ForbidOutcome::Lost
         };
@@ -324,8 +328,13 @@
         self.start_next(now, out);
     }
 
-    fn forbid_here(&mut self, now: Instant, id: AttemptId, out: &mut Vec<Action>) -> ForbidOutcome {
-        match self.live.get(&id) {
+    fn resolve_forbid(
+        &mut self,
+        now: Instant,
+        id: AttemptId,
+        out: &mut Vec<Action>,
+    ) -> ForbidOutcome {
+        match self.by_id.get(&id) {
             Some(attempt) if attempt.is_waiting() => {
                 self.reject_waiting(now, id, Rejection::Forbidden, out);
                 return ForbidOutcome::NeverRun;
@@ -340,11 +349,12 @@
             }
             None => {}
         }
-        // Only non-idempotent attempts are forbidden, so the floors of the others do not count.
-        match self.recall(id, false) {
-            Recall::Known(Fate::Started) | Recall::Forgotten => ForbidOutcome::Lost,
-            Recall::Known(Fate::Forbidden) | Recall::New | Recall::Superseded => {
-                self.memory.set(id, Fate::Forbidden);
+        // Only non-idempotent attempts are forbidden, so the idempotent history's watermarks do not
+        // apply.
+        match self.lookup(id, false) {
+            Lookup::Found(Record::Started) | Lookup::Evicted => ForbidOutcome::Lost,
+            Lookup::Found(Record::Forbidden) | Lookup::New | Lookup::Superseded => {
+                self.history.record(id, Record::Forbidden);
                 ForbidOutcome::NeverRun
             }
         }
@@ -370,12 +380,12 @@
     });
 }
 
-/// Closes a connection whose entry broke the protocol.
+/// Closes a connection whose entry violated the protocol.
 pub(crate) fn refuse_connection(
     connection: ConnectionId,
     detail: &'static str,
     out: &mut Vec<Action>,
 ) {
-    out.push(Action::Log(Note::ConnectionRefused { detail }));
+    out.push(Action::Log(LogEvent::ConnectionRefused { detail }));
     out.push(Action::Close { connection });
 }
--- a/components/agent/src/answer.rs
+++ b/components/agent/src/answer.rs
@@ -1,34 +1,34 @@
-//! The bytes of one answer that may still have to be sent again.
+//! Buffer for the bytes of one answer that may have to be sent again.
 //!
-//! Entries read an answer at their own pace and may come back on another connection, so bytes
-//! stay here until every reader has acknowledged them. The answer of a non-idempotent attempt
-//! is kept from its first byte, because another entry may ask for it from the start.
+//! Entries read an answer at their own pace and may reconnect, so bytes are kept until every reader
+//! has acknowledged them. The answer of a non-idempotent attempt is kept from its first byte,
+//! because another entry may request it from the start.
 
 use std::collections::VecDeque;
 
 use wire::AnswerDigest;
 use wire::Digest;
 
-/// Retained part of an answer, with the running digest of the whole.
+/// Kept bytes of an answer, and the digest of all its bytes.
 #[derive(Default)]
 pub struct Answer {
     base: u64,
     bytes: VecDeque<u8>,
     digest: AnswerDigest,
-    /// Length and digest once the answer is whole.
+    /// Length and digest of the complete answer.
     sealed: Option<(u64, Digest)>,
 }
 
 impl Answer {
-    /// Takes the next bytes from the target.
+    /// Appends bytes from the target.
     pub fn push(&mut self, bytes: &[u8]) {
         debug_assert!(self.sealed.is_none(), "bytes after the end of an answer");
         self.digest.push(bytes);
         self.bytes.extend(bytes);
     }
 
-    /// No more bytes follow. Frees the 1.9 KB of the running digest, because finished answers are
-    /// kept in thousands.
+    /// Marks the answer as complete. Frees the 1.9 KB of digest state, because thousands of
+    /// finished answers are kept.
     pub fn seal(&mut self) {
         if self.sealed.is_none() {
             self.sealed = Some((self.digest.length(), self.digest.digest()));
@@ -36,20 +36,20 @@
         }
     }
 
-    /// Position of the first byte still held.
+    /// Offset of the first kept byte.
     #[must_use]
     pub fn base(&self) -> u64 {
         self.base
     }
 
-    /// Bytes received from the target so far.
+    /// Bytes received from the target so far, including discarded ones.
     #[must_use]
     pub fn length(&self) -> u64 {
         self.sealed
             .map_or_else(|| self.digest.length(), |(length, _)| length)
     }
 
-    /// Bytes held.
+    /// Number of kept bytes.
     #[must_use]
     pub fn held_bytes(&self) -> usize {
         self.bytes.len()
@@ -62,7 +62,7 @@
             .map_or_else(|| self.digest.digest(), |(_, digest)| digest)
     }
 
-    /// Copies at most `limit_bytes` from `offset`, which must not be below `base`.
+    /// Copies at most `limit_bytes` from `offset`, which must not be less than `base`.
     #[must_use]
     pub fn copy(&self, offset: u64, limit_bytes: u64) -> Vec<u8> {
         let start = to_index(offset.saturating_sub(self.base)).min(self.bytes.len());
@@ -80,13 +80,13 @@
         out
     }
 
-    /// Drops bytes below `offset`.
+    /// Discards bytes before `offset`.
     pub fn release(&mut self, offset: u64) {
         let count = to_index(offset.saturating_sub(self.base)).min(self.bytes.len());
         self.bytes.drain(..count);
         self.base += count as u64;
         if self.bytes.is_empty() {
-            // An idle answer must not keep the peak of its buffer.
+            // Frees the allocation, which would otherwise keep its peak size.
             self.bytes = VecDeque::new();
         }
     }
--- a/components/agent/src/attempt.rs
+++ b/components/agent/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt in the agent's hands, and the entries that read its answer.
+//! State of one attempt, and the entries that read its answer.
 
 use std::time::Instant;
 
@@ -16,69 +16,68 @@
 use crate::event::ConnectionId;
 use crate::event::RunId;
 use crate::limits::CHUNK_LIMIT_BYTES;
-use crate::load::LoadBook;
-use crate::usage::Tail;
+use crate::load::LoadReporter;
+use crate::usage::AnswerTail;
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
-    /// Its body is not whole yet.
+    /// The request body is incomplete.
     Receiving,
-    /// Waits for a place at the target.
+    /// Waits for a free slot at the target.
     Queued,
-    /// Handed to the target.
+    /// Sent to the target.
     Running,
-    /// The answer is whole.
+    /// The answer is complete.
     Done(Usage),
-    /// It ran, and the answer is lost.
+    /// It ran, and its answer was lost.
     Failed(String),
 }
 
-/// How an answer is read from the target.
+/// State of the transfer of an answer from the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
-    /// The head has not arrived on the present connection.
-    Unopened,
-    /// More may be asked for.
+pub enum ReadState {
+    /// The head has not arrived on the current connection.
+    AwaitingHead,
+    /// The next `Read` may be sent.
     Idle,
     /// A `Read` is outstanding.
     Outstanding,
 }
 
-/// An entry's position in the answer.
+/// Position of one entry in an answer, and its flow-control credit.
 #[derive(Debug, Clone)]
 pub struct Reader {
-    /// Connection to send on.
     pub connection: ConnectionId,
     sent: u64,
     acknowledged: u64,
-    allowed: u64,
+    credit_limit: u64,
     head_sent: bool,
     /// `End` or `Failed` was sent.
     pub end_sent: bool,
 }
 
 impl Reader {
-    /// Starts at `offset`, with credit for `credit_bytes` more.
+    /// Starts at `offset` with `credit_bytes` of credit.
     #[must_use]
     pub fn new(connection: ConnectionId, offset: u64, credit_bytes: u32) -> Self {
         Self {
             connection,
             sent: offset,
             acknowledged: offset,
-            allowed: offset.saturating_add(u64::from(credit_bytes)),
+            credit_limit: offset.saturating_add(u64::from(credit_bytes)),
             head_sent: false,
             end_sent: false,
         }
     }
 
-    /// Takes an acknowledgement and more credit.
+    /// Applies an acknowledgement and additional credit.
     pub fn credit(&mut self, received: u64, bytes: u32) {
         self.acknowledged = self.acknowledged.max(received.min(self.sent));
-        self.allowed = self.allowed.saturating_add(u64::from(bytes));
+        self.credit_limit = self.credit_limit.saturating_add(u64::from(bytes));
     }
 
-    /// Whether the entry has acknowledged an answer of this length.
+    /// Whether the entry has acknowledged all `length` bytes of the answer.
     #[must_use]
     pub fn has_all(&self, length: u64) -> bool {
         self.end_sent && self.acknowledged >= length
@@ -88,62 +87,56 @@
 /// Head of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Head {
-    /// HTTP status.
     pub status: u16,
-    /// Media type.
+    /// Value of the `content-type` field; empty if absent.
     pub content_type: String,
-    /// Other fields that the caller gets.
+    /// Other fields to relay to the caller.
     pub headers: Headers,
 }
 
-/// One attempt.
+/// An attempt, from its dispatch until its answer is evicted.
 pub struct Attempt {
-    /// Id.
     pub id: AttemptId,
-    /// Another attempt may follow this one.
+    /// Running the attempt more than once is harmless.
     pub idempotent: bool,
-    /// 0 is served first.
+    /// 0 is the highest priority.
     pub priority: u8,
-    /// Key in the queue, while queued.
+    /// Queue key: time of arrival plus the delay for the priority.
     pub rank: Instant,
-    /// No start after this.
+    /// The attempt is not started after this.
     pub deadline: Instant,
-    /// What the target must have loaded.
+    /// Model, version and adapters that must be loaded.
     pub needs: Loaded,
-    /// Work, until it is handed to the target.
+    /// Request to send; taken when the run starts.
     pub work: Option<Box<Work>>,
-    /// Length of the whole request body.
+    /// Length of the complete request body.
     pub body_bytes: u64,
     /// Estimated prompt length.
     pub prompt_tokens: u32,
-    /// How far it has come.
     pub phase: Phase,
-    /// Run at the target, once started.
+    /// Current run at the target; 0 before the first.
     pub run: RunId,
-    /// Head of the answer.
     pub head: Option<Head>,
-    /// Bytes of the answer.
     pub answer: Answer,
-    /// The answer is kept from its first byte.
-    pub keeps_all: bool,
-    /// The rest of the answer was asked for on a new connection.
+    /// All bytes of the answer are kept, including acknowledged ones.
+    pub is_kept_whole: bool,
+    /// The rest of the answer was requested on a new connection at least once.
     pub is_resumed: bool,
-    /// Times that it was asked for since the last new byte.
-    pub resumes: u32,
-    /// How the answer is read from the target.
-    pub reading: Reading,
-    /// Entries that read the answer; more than one only after a resend through another entry.
+    /// Resume requests since the last new byte.
+    pub resume_count: u32,
+    pub read_state: ReadState,
+    /// Entries that read the answer; more than one only after a retry through another entry.
     pub readers: Vec<Reader>,
-    /// Since when no entry reads it.
-    pub orphaned: Option<Instant>,
-    /// End of the answer, for its usage.
-    pub tail: Tail,
-    /// Bytes counted against the limit for kept answers.
-    pub counted_bytes: usize,
+    /// When the last reader detached.
+    pub orphaned_since: Option<Instant>,
+    /// Last bytes of the answer, which contain its token usage.
+    pub tail: AnswerTail,
+    /// Bytes of the finished answer that count against the limit for kept answers.
+    pub kept_bytes: usize,
 }
 
 impl Attempt {
-    /// Takes a dispatch that arrived on `connection`.
+    /// Creates the attempt of a dispatch received on `connection`.
     #[must_use]
     pub fn new(now: Instant, connection: ConnectionId, dispatch: Dispatch) -> Self {
         Self {
@@ -160,37 +153,37 @@
             run: 0,
             head: None,
             answer: Answer::default(),
-            keeps_all: !dispatch.idempotent,
+            is_kept_whole: !dispatch.idempotent,
             is_resumed: false,
-            resumes: 0,
-            reading: Reading::Unopened,
+            resume_count: 0,
+            read_state: ReadState::AwaitingHead,
             readers: vec![Reader::new(connection, 0, dispatch.credit_bytes)],
-            orphaned: None,
-            tail: Tail::default(),
-            counted_bytes: 0,
+            orphaned_since: None,
+            tail: AnswerTail::default(),
+            kept_bytes: 0,
         }
     }
 
-    /// Not handed to the target yet.
+    /// Whether the attempt has not been sent to the target.
     #[must_use]
     pub fn is_waiting(&self) -> bool {
         matches!(self.phase, Phase::Receiving | Phase::Queued)
     }
 
-    /// Neither waiting nor running.
+    /// Whether the run has ended.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         matches!(self.phase, Phase::Done(_) | Phase::Failed(_))
     }
 
-    /// Attaches a reader, in place of an earlier one on the same connection.
+    /// Attaches a reader; replaces an earlier one on the same connection.
     pub fn attach(&mut self, reader: Reader) {
         self.detach(reader.connection);
         self.readers.push(reader);
-        self.orphaned = None;
+        self.orphaned_since = None;
     }
 
-    /// Removes the reader on a connection; returns whether there was one.
+    /// Detaches the reader of a connection; returns whether there was one.
     pub fn detach(&mut self, connection: ConnectionId) -> bool {
         let before = self.readers.len();
         self.readers
@@ -198,34 +191,34 @@
         self.readers.len() < before
     }
 
-    /// Whether an attached entry still waits for the end.
+    /// Whether any attached entry has not been sent the end of the answer.
     #[must_use]
     pub fn is_undelivered(&self) -> bool {
         self.readers.iter().any(|reader| !reader.end_sent)
     }
 
-    /// Lowest position that an attached entry has acknowledged.
+    /// Lowest offset acknowledged by all attached entries; `None` without entries.
     #[must_use]
     pub fn acknowledged(&self) -> Option<u64> {
         self.readers.iter().map(|reader| reader.acknowledged).min()
     }
 
-    /// Whether more of the answer may be read from the target.
+    /// Whether the buffer has space for more bytes from the target.
     #[must_use]
-    pub fn has_room(&self, limit_bytes: usize) -> bool {
+    pub fn has_buffer_space(&self, limit_bytes: usize) -> bool {
         if self.idempotent {
             return self.answer.held_bytes() < limit_bytes;
         }
-        // Without a reader a non-idempotent run goes on to its end.
+        // Without a reader nothing is pending, so a non-idempotent run is read to its end.
         let pending = self
             .acknowledged()
             .map_or(0, |acknowledged| self.answer.length() - acknowledged);
         usize::try_from(pending).is_ok_and(|pending| pending < limit_bytes)
     }
 
-    /// Drops bytes that nobody can ask for any more.
+    /// Discards bytes that no entry can request any more.
     pub fn release(&mut self) {
-        if self.keeps_all {
+        if self.is_kept_whole {
             return;
         }
         match self.acknowledged() {
@@ -235,8 +228,8 @@
         }
     }
 
-    /// Sends every reader what its credit allows.
-    pub fn relay(&mut self, now: Instant, load: &mut LoadBook, out: &mut Vec<Action>) {
+    /// Sends each reader the bytes that its credit allows.
+    pub fn relay(&mut self, now: Instant, load: &mut LoadReporter, out: &mut Vec<Action>) {
         for reader in &mut self.readers {
             if reader.end_sent {
                 continue;
@@ -284,7 +277,7 @@
     }
 }
 
-/// The attempt ran, and its answer cannot be had.
+/// Message for an attempt that ran and whose answer is unavailable.
 #[must_use]
 pub fn failed(attempt: AttemptId, detail: String) -> ToEntry {
     ToEntry::Failed {
@@ -295,7 +288,7 @@
 }
 
 fn send_chunks(id: AttemptId, answer: &Answer, reader: &mut Reader, out: &mut Vec<Action>) {
-    let end = answer.length().min(reader.allowed);
+    let end = answer.length().min(reader.credit_limit);
     while reader.sent < end {
         let bytes = answer.copy(reader.sent, CHUNK_LIMIT_BYTES.min(end - reader.sent));
         let offset = reader.sent;
--- a/components/agent/src/attempts.rs
+++ b/components/agent/src/attempts.rs
@@ -1,5 +1,4 @@
-//! All attempts in the agent's hands: their queue, their runs, and the answers kept for
-//! resumption.
+//! The queue of attempts, their runs, and the finished answers kept for resumption.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,81 +13,81 @@
 
 use crate::attempt::Attempt;
 use crate::attempt::Phase;
+use crate::attempt::ReadState;
 use crate::attempt::Reader;
-use crate::attempt::Reading;
 use crate::event::Action;
 use crate::event::ConnectionId;
 use crate::event::RunId;
 use crate::limits::Limits;
-use crate::load::LoadBook;
-use crate::memory::Fate;
-use crate::memory::Memory;
-use crate::report::Note;
-use crate::usage::Tail;
+use crate::load::LoadReporter;
+use crate::log_event::LogEvent;
+use crate::memory::AttemptHistory;
+use crate::memory::Record;
+use crate::usage::AnswerTail;
 
-/// Idempotent attempts remembered after their start; at 2,000 requests a second this covers the
-/// seconds in which an entry replaces a silent connection and resumes.
-const RECENT_LIMIT: usize = 16_384;
-/// Head start of one step of priority over the next. Waiting makes up for it, so that the lowest
-/// priority is not starved.
+/// Records of started idempotent attempts. At 2,000 requests per second this covers the seconds in
+/// which an entry replaces a silent connection and resumes.
+const IDEMPOTENT_HISTORY_LIMIT: usize = 16_384;
+/// Queue delay per priority level. It is finite, so that waiting attempts of the lowest priority
+/// are not starved.
 const PRIORITY_STEP_MS: Duration = Duration::from_secs(2);
 
-/// Attempts, and what is remembered of them.
+/// All attempts of the agent, and the history of past ones.
 pub struct Attempts {
     pub(crate) limits: Rc<Limits>,
-    /// Load report under construction; the agent sets the target's part of it.
-    pub load: LoadBook,
-    pub(crate) live: BTreeMap<AttemptId, Attempt>,
+    /// Load reporter; the agent sets the target's fields.
+    pub load: LoadReporter,
+    pub(crate) by_id: BTreeMap<AttemptId, Attempt>,
     pub(crate) runs: BTreeMap<RunId, AttemptId>,
     queue: BTreeSet<(Instant, AttemptId)>,
     pub(crate) receiving: usize,
     pub(crate) waiting_bytes: u64,
-    pub(crate) memory: Memory,
-    pub(crate) recent: Memory,
-    pub(crate) next_run: RunId,
-    /// Runs whose answer is to be asked for again, and why, in order of time.
-    pub(crate) resumes: BTreeMap<(Instant, RunId), String>,
+    pub(crate) history: AttemptHistory,
+    pub(crate) idempotent_history: AttemptHistory,
+    pub(crate) next_run_id: RunId,
+    /// Resume requests to send, by time, with the cause of each.
+    pub(crate) pending_resumes: BTreeMap<(Instant, RunId), String>,
     pub(crate) finished: [VecDeque<(Instant, AttemptId)>; 2],
     pub(crate) kept_bytes: usize,
 }
 
 impl Attempts {
-    /// Starts without any.
+    /// Starts without attempts.
     #[must_use]
     pub fn new(limits: Rc<Limits>) -> Self {
         Self {
-            load: LoadBook::new(limits.incarnation),
-            memory: Memory::new(limits.memory_limit),
-            recent: Memory::new(RECENT_LIMIT),
+            load: LoadReporter::new(limits.incarnation),
+            history: AttemptHistory::new(limits.history_limit),
+            idempotent_history: AttemptHistory::new(IDEMPOTENT_HISTORY_LIMIT),
             limits,
-            live: BTreeMap::new(),
+            by_id: BTreeMap::new(),
             runs: BTreeMap::new(),
             queue: BTreeSet::new(),
             receiving: 0,
             waiting_bytes: 0,
-            next_run: 1,
-            resumes: BTreeMap::new(),
+            next_run_id: 1,
+            pending_resumes: BTreeMap::new(),
             finished: [VecDeque::new(), VecDeque::new()],
             kept_bytes: 0,
         }
     }
 
-    /// Attempts accepted and not yet through at the target.
+    /// Accepted attempts whose run at the target has not finished.
     #[must_use]
-    pub fn in_service(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.receiving + self.queue.len() + self.runs.len()
     }
 
-    /// Whether an attached entry still waits for the end of an answer.
+    /// Whether an attached entry has not been sent the end of its answer.
     #[must_use]
     pub fn is_delivering(&self) -> bool {
-        self.live.values().any(Attempt::is_undelivered)
+        self.by_id.values().any(Attempt::is_undelivered)
     }
 
-    /// Whether every attached entry has acknowledged its whole answer.
+    /// Whether all attached entries have acknowledged their complete answers.
     #[must_use]
     pub fn is_acknowledged(&self) -> bool {
-        self.live.values().all(|attempt| {
+        self.by_id.values().all(|attempt| {
             let length = attempt.answer.length();
             attempt.readers.iter().all(|reader| reader.has_all(length))
         })
@@ -100,7 +99,7 @@
     }
 
     pub(crate) fn enqueue(&mut self, now: Instant, id: AttemptId) {
-        if let Some(attempt) = self.live.get_mut(&id) {
+        if let Some(attempt) = self.by_id.get_mut(&id) {
             attempt.phase = Phase::Queued;
             attempt.rank = now + PRIORITY_STEP_MS * u32::from(attempt.priority);
             self.queue.insert((attempt.rank, id));
@@ -108,26 +107,27 @@
         }
     }
 
-    /// Whether an answer is still to be sent on a connection.
+    /// Whether a connection has a reader that has not been sent the end of its answer.
     pub(crate) fn has_reader(&self, connection: ConnectionId) -> bool {
         let reads = |reader: &Reader| reader.connection == connection && !reader.end_sent;
-        self.live
+        self.by_id
             .values()
             .any(|attempt| attempt.readers.iter().any(reads))
     }
 
-    /// Waiting attempt that would be started last.
+    /// Queued attempt with the lowest rank.
     pub(crate) fn last_queued(&self) -> Option<(Instant, AttemptId)> {
         self.queue.last().copied()
     }
 
-    /// Whether as many attempts wait as the queue and the free places at the target can hold.
+    /// Whether the waiting attempts fill the queue and the free slots at the target.
     pub(crate) fn is_full(&self) -> bool {
         let free = self.limits.concurrency.saturating_sub(self.runs.len());
         self.receiving + self.queue.len() >= self.limits.queue + free
     }
 
-    /// Changes how many runs are at the target at once. What runs or waits already is kept.
+    /// Changes the limits for concurrent runs and queued attempts. Attempts that run or wait
+    /// already are not affected.
     pub(crate) fn set_concurrency(
         &mut self,
         now: Instant,
@@ -140,19 +140,19 @@
         self.start_next(now, out);
     }
 
-    /// Hands queued attempts to the target while it has places.
+    /// Starts queued attempts while the target has free slots.
     pub(crate) fn start_next(&mut self, now: Instant, out: &mut Vec<Action>) {
         while self.runs.len() < self.limits.concurrency {
             let Some((_, id)) = self.queue.first().copied() else {
                 break;
             };
-            let Some(attempt) = self.live.get(&id) else {
+            let Some(attempt) = self.by_id.get(&id) else {
                 self.queue.pop_first();
                 continue;
             };
             if now >= attempt.deadline {
                 self.reject_waiting(now, id, Rejection::DeadlineExceeded, out);
-            } else if !self.load.has(&attempt.needs) {
+            } else if !self.load.has_loaded(&attempt.needs) {
                 self.reject_waiting(now, id, Rejection::WrongModel, out);
             } else {
                 self.start(id, out);
@@ -162,14 +162,14 @@
     }
 
     fn start(&mut self, id: AttemptId, out: &mut Vec<Action>) {
-        let run = self.next_run;
-        let Some(attempt) = self.live.get_mut(&id) else {
+        let run = self.next_run_id;
+        let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
         let Some(work) = attempt.work.take() else {
             return;
         };
-        self.next_run += 1;
+        self.next_run_id += 1;
         self.queue.remove(&(attempt.rank, id));
         self.waiting_bytes -= attempt.body_bytes;
         self.load.queued_tokens -= u64::from(attempt.prompt_tokens);
@@ -178,7 +178,7 @@
         self.runs.insert(run, id);
         let priority = attempt.priority;
         let idempotent = attempt.idempotent;
-        self.remember(id, idempotent, Fate::Started);
+        self.update_history(id, idempotent, Record::Started);
         out.push(Action::Start {
             run,
             attempt: id,
@@ -187,17 +187,17 @@
         });
     }
 
-    pub(crate) fn remember(&mut self, id: AttemptId, idempotent: bool, fate: Fate) {
+    pub(crate) fn update_history(&mut self, id: AttemptId, idempotent: bool, record: Record) {
         if idempotent {
-            self.recent.set(id, fate);
+            self.idempotent_history.record(id, record);
         } else {
-            self.memory.set(id, fate);
+            self.history.record(id, record);
         }
     }
 
-    /// Takes a waiting attempt out; it was not run and never will be.
+    /// Removes a waiting attempt and records that it must not start.
     pub(crate) fn remove_waiting(&mut self, id: AttemptId) -> Option<Attempt> {
-        let attempt = self.live.get(&id)?;
+        let attempt = self.by_id.get(&id)?;
         match attempt.phase {
             Phase::Receiving => self.receiving -= 1,
             Phase::Queued => {
@@ -205,15 +205,15 @@
             }
             _ => return None,
         }
-        let attempt = self.live.remove(&id)?;
+        let attempt = self.by_id.remove(&id)?;
         self.waiting_bytes -= attempt.body_bytes;
         self.load.queued_tokens -= u64::from(attempt.prompt_tokens);
-        self.remember(id, attempt.idempotent, Fate::Forbidden);
+        self.update_history(id, attempt.idempotent, Record::Forbidden);
         self.update_counts();
         Some(attempt)
     }
 
-    /// Takes a waiting attempt out and tells its entries why.
+    /// Removes a waiting attempt and sends the rejection to its entries.
     pub(crate) fn reject_waiting(
         &mut self,
         now: Instant,
@@ -257,55 +257,57 @@
         });
     }
 
-    /// Sends what may be sent of an answer and asks the target for more.
+    /// Sends readers the bytes that their credit allows, and reads more from the target.
     pub(crate) fn relay(&mut self, now: Instant, id: AttemptId, out: &mut Vec<Action>) {
-        let Some(attempt) = self.live.get_mut(&id) else {
+        let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
         attempt.relay(now, &mut self.load, out);
-        if attempt.keeps_all && attempt.answer.held_bytes() > self.limits.kept_answer_limit_bytes {
-            attempt.keeps_all = false;
-            out.push(Action::Log(Note::AnswerDropped { attempt: id }));
+        if attempt.is_kept_whole
+            && attempt.answer.held_bytes() > self.limits.kept_answer_limit_bytes
+        {
+            attempt.is_kept_whole = false;
+            out.push(Action::Log(LogEvent::AnswerDropped { attempt: id }));
         }
         attempt.release();
         if attempt.phase == Phase::Running
-            && attempt.reading == Reading::Idle
-            && attempt.has_room(self.limits.buffer_limit_bytes)
+            && attempt.read_state == ReadState::Idle
+            && attempt.has_buffer_space(self.limits.buffer_limit_bytes)
         {
-            attempt.reading = Reading::Outstanding;
+            attempt.read_state = ReadState::Outstanding;
             out.push(Action::Read { run: attempt.run });
         }
     }
 
-    /// Ends the run of an attempt, whose answer is kept from now on.
+    /// Ends the run of an attempt; its answer is kept until evicted.
     pub(crate) fn finish(&mut self, now: Instant, id: AttemptId, phase: Phase) {
-        let Some(attempt) = self.live.get_mut(&id) else {
+        let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
         self.runs.remove(&attempt.run);
         attempt.phase = phase;
         attempt.answer.seal();
-        attempt.tail = Tail::default();
-        attempt.counted_bytes = attempt.answer.held_bytes();
-        self.kept_bytes += attempt.counted_bytes;
+        attempt.tail = AnswerTail::default();
+        attempt.kept_bytes = attempt.answer.held_bytes();
+        self.kept_bytes += attempt.kept_bytes;
         self.finished[usize::from(attempt.idempotent)].push_back((now, id));
         self.update_counts();
     }
 
-    /// Forgets the answer of an attempt that is over.
-    pub(crate) fn drop_finished(&mut self, id: AttemptId) {
-        // An id that was cancelled and sent again may be running.
-        if !self.live.get(&id).is_some_and(Attempt::is_over) {
+    /// Removes a finished attempt with its answer.
+    pub(crate) fn evict_finished(&mut self, id: AttemptId) {
+        // An attempt that was cancelled and dispatched again may be running.
+        if !self.by_id.get(&id).is_some_and(Attempt::is_finished) {
             return;
         }
-        if let Some(attempt) = self.live.remove(&id) {
-            self.kept_bytes -= attempt.counted_bytes;
+        if let Some(attempt) = self.by_id.remove(&id) {
+            self.kept_bytes -= attempt.kept_bytes;
         }
     }
 
-    /// Gives up an idempotent run.
+    /// Aborts an idempotent run and removes its attempt.
     pub(crate) fn abort(&mut self, id: AttemptId, out: &mut Vec<Action>) -> Option<Attempt> {
-        let attempt = self.live.remove(&id)?;
+        let attempt = self.by_id.remove(&id)?;
         self.runs.remove(&attempt.run);
         self.update_counts();
         out.push(Action::Abort {
--- a/components/agent/src/change.rs
+++ b/components/agent/src/change.rs
@@ -1,57 +1,56 @@
-//! An order under way, from its start until it is recorded.
+//! An order in progress, from its start until it is recorded.
 
 use std::time::Instant;
 
 use types::Order;
 use types::OrderKind;
 
-use crate::engine_view::Wanted;
+use crate::engine_monitor::DesiredState;
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Needs a slot of the weight store, while work goes on.
-    Slot,
-    /// Asked for a slot.
-    SlotAsked,
-    /// Accepts no work and finishes what is in service.
-    Finish,
-    /// The order row must be read again.
-    Confirm,
-    /// Passed to the engine; no answer yet.
-    Passing,
-    /// The engine's state must show the order, in a read that began after this time.
-    Verify(Instant),
+    /// Must reserve a slot at the weight store; work continues.
+    ReserveSlot,
+    /// Waits for the reply to the reservation.
+    AwaitSlot,
+    /// Rejects new work and waits until accepted attempts have finished.
+    FinishWork,
+    /// The order row must be read again, to check that the order is still the newest.
+    ConfirmOrder,
+    /// Sent to the engine; waits for the reply.
+    Sending,
+    /// The ordered state must appear in an engine state requested after this time.
+    VerifyState(Instant),
     /// The result must be written to the target row.
-    Record,
+    RecordResult,
 }
 
-/// An order under way.
+/// An order in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Order as it stands in the table.
+    /// Order as read from the table.
     pub order: Order,
-    /// What to pass to the engine next: the order itself, or a step to the state it asks for.
+    /// Step to send to the engine next: the order itself, or a step towards the desired state.
     pub step: OrderKind,
     /// State to reach; `None` if the order does not concern the engine.
-    pub wanted: Option<Wanted>,
-    /// The order was executed before, and the engine has lost its state.
-    pub is_repair: bool,
-    /// How far it has come.
+    pub desired: Option<DesiredState>,
+    /// The order was executed before, and the engine has lost that state since.
+    pub is_reconciliation: bool,
     pub stage: Stage,
     /// When the stage was entered.
     pub since: Instant,
-    /// No step before this.
+    /// Earliest time of the next step.
     pub not_before: Instant,
-    /// A step was passed to the engine before; it may still take effect.
-    was_passed: bool,
+    /// A step was sent to the engine before and may still take effect.
+    was_sent: bool,
 }
 
 impl Change {
-    /// Starts an order from the state recorded before it.
+    /// Starts an order; `base` is the state recorded before it.
     #[must_use]
-    pub fn start(now: Instant, order: Order, base: &Wanted) -> Self {
-        let wanted = order
+    pub fn start(now: Instant, order: Order, base: &DesiredState) -> Self {
+        let desired = order
             .kind
             .concerns_engine()
             .then(|| base.after(&order.kind));
@@ -60,28 +59,28 @@
         Self {
             order,
             step,
-            wanted,
-            is_repair: false,
+            desired,
+            is_reconciliation: false,
             stage,
             since: now,
             not_before: now,
-            was_passed: false,
+            was_sent: false,
         }
     }
 
-    /// Leads the engine back to the recorded state, under the number of the order in force.
+    /// Starts the return to the recorded state, under the number of the order in force.
     #[must_use]
-    pub fn repair(now: Instant, order: Order, wanted: Wanted, step: OrderKind) -> Self {
+    pub fn reconcile(now: Instant, order: Order, desired: DesiredState, step: OrderKind) -> Self {
         let stage = first_stage(&step);
         Self {
             order,
             step,
-            wanted: Some(wanted),
-            is_repair: true,
+            desired: Some(desired),
+            is_reconciliation: true,
             stage,
             since: now,
             not_before: now,
-            was_passed: false,
+            was_sent: false,
         }
     }
 
@@ -89,29 +88,29 @@
     pub fn enter(&mut self, now: Instant, stage: Stage) {
         self.stage = stage;
         self.since = now;
-        self.was_passed |= stage == Stage::Passing;
+        self.was_sent |= stage == Stage::Sending;
     }
 
-    /// Goes on with another step towards the wanted state, not before a time.
-    pub fn repeat(&mut self, now: Instant, step: OrderKind, not_before: Instant) {
+    /// Continues with another step towards the desired state, not before `not_before`.
+    pub fn retry(&mut self, now: Instant, step: OrderKind, not_before: Instant) {
         let stage = first_stage(&step);
         self.step = step;
         self.not_before = not_before;
         self.enter(now, stage);
     }
 
-    /// Whether new work is refused because of a change at the engine.
+    /// Whether new work is rejected because of a change to the engine.
     #[must_use]
-    pub fn stops_work(&self) -> bool {
-        self.wanted.is_some()
-            && (self.is_repair
-                || self.was_passed
-                || !matches!(self.stage, Stage::Slot | Stage::SlotAsked))
+    pub fn rejects_work(&self) -> bool {
+        self.desired.is_some()
+            && (self.is_reconciliation
+                || self.was_sent
+                || !matches!(self.stage, Stage::ReserveSlot | Stage::AwaitSlot))
     }
 
-    /// Order to pass on now.
+    /// Order with the current step as its kind.
     #[must_use]
-    pub fn to_pass(&self) -> Order {
+    pub fn order_to_send(&self) -> Order {
         Order {
             kind: self.step.clone(),
             ..self.order.clone()
@@ -119,11 +118,12 @@
     }
 }
 
-/// The slot is asked for while work goes on, so that a busy weight store costs no service.
+/// Loads reserve their slot before work is rejected, so that a busy weight store causes no
+/// downtime.
 fn first_stage(step: &OrderKind) -> Stage {
     match step {
-        OrderKind::LoadModel { .. } | OrderKind::LoadAdapter { .. } => Stage::Slot,
-        OrderKind::Resume => Stage::Record,
-        _ => Stage::Finish,
+        OrderKind::LoadModel { .. } | OrderKind::LoadAdapter { .. } => Stage::ReserveSlot,
+        OrderKind::Resume => Stage::RecordResult,
+        _ => Stage::FinishWork,
     }
 }
--- a/components/agent/src/daemon/connections.rs
+++ b/components/agent/src/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! Connections from entries.
+//! Sessions with entries.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,55 +18,60 @@
 use wire::session::SessionWriter;
 
 use crate::daemon::Daemon;
-use crate::daemon::server::within;
+use crate::daemon::server::with_timeout;
 use crate::event::ConnectionId;
 use crate::event::Event;
 
-/// Time for the opening exchange.
+/// Timeout of the session handshake.
 const HANDSHAKE_LIMIT_MS: Duration = Duration::from_secs(2);
-/// Frames waiting on one connection. Chunks are bounded by credit; this bounds the rest.
-const WAITING_LIMIT: usize = 16_384;
-/// Time to write what is waiting when the process ends.
+/// Maximum number of queued frames per connection. Credit limits the chunks; this also limits other
+/// frames.
+const OUTGOING_LIMIT: usize = 16_384;
+/// Time to send queued frames when the process ends.
 const FLUSH_LIMIT_MS: Duration = Duration::from_millis(500);
 const FLUSH_POLL_MS: Duration = Duration::from_millis(5);
 
 /// Open connections.
 #[derive(Default)]
 pub struct Connections {
-    next: Cell<ConnectionId>,
-    open: RefCell<HashMap<ConnectionId, Open>>,
+    last_id: Cell<ConnectionId>,
+    open: RefCell<HashMap<ConnectionId, OpenConnection>>,
 }
 
-struct Open {
+struct OpenConnection {
     messages: Sender<ToEntry>,
-    /// Dropped to end the connection at once.
-    _alive: Sender<()>,
+    /// Dropped to close the connection at once.
+    _close_guard: Sender<()>,
 }
 
 impl Connections {
-    /// Queues a message; messages to a closed connection are dropped.
+    /// Queues a message. Messages to a closed connection are dropped; a connection whose queue is
+    /// full is closed.
     pub fn send(&self, connection: ConnectionId, message: ToEntry) {
         let mut open = self.open.borrow_mut();
-        let Some(target) = open.get(&connection) else {
+        let Some(open_connection) = open.get(&connection) else {
             return;
         };
-        if target.messages.len() >= WAITING_LIMIT || target.messages.try_send(message).is_err() {
+        if open_connection.messages.len() >= OUTGOING_LIMIT
+            || open_connection.messages.try_send(message).is_err()
+        {
             open.remove(&connection);
         }
     }
 
-    /// Ends a connection at once.
+    /// Closes a connection without sending its queue.
     pub fn close(&self, connection: ConnectionId) {
         self.open.borrow_mut().remove(&connection);
     }
 
     fn is_flushed(&self) -> bool {
         let open = self.open.borrow();
-        open.values().all(|target| target.messages.is_empty())
+        open.values()
+            .all(|open_connection| open_connection.messages.is_empty())
     }
 }
 
-/// Serves one accepted connection.
+/// Spawns the handshake and session of an accepted connection.
 pub fn spawn(daemon: &Rc<Daemon>, stream: TcpStream) {
     let serving = daemon.clone();
     daemon.spawn(async move {
@@ -74,7 +79,7 @@
         let random = rand::random();
         let keys = serving.keys();
         let opening = session::establish(stream, session::End::Acceptor, &keys, random);
-        let Some(Ok((reader, writer))) = within(HANDSHAKE_LIMIT_MS, opening).await else {
+        let Some(Ok((reader, writer))) = with_timeout(HANDSHAKE_LIMIT_MS, opening).await else {
             return;
         };
         serve(&serving, reader, writer).await;
@@ -86,15 +91,15 @@
     mut reader: SessionReader<TcpStream>,
     mut writer: SessionWriter<TcpStream>,
 ) {
-    let connection = daemon.connections.next.get() + 1;
-    daemon.connections.next.set(connection);
+    let connection = daemon.connections.last_id.get() + 1;
+    daemon.connections.last_id.set(connection);
     let (messages, outgoing) = async_channel::unbounded();
-    let (alive, ended) = async_channel::bounded::<()>(1);
+    let (close_guard, ended) = async_channel::bounded::<()>(1);
     daemon.connections.open.borrow_mut().insert(
         connection,
-        Open {
+        OpenConnection {
             messages,
-            _alive: alive,
+            _close_guard: close_guard,
         },
     );
     let end = wait_for_end(ended);
@@ -102,7 +107,7 @@
     let receive = async {
         loop {
             match reader.next_message::<ToAgent>().await {
-                Ok(Some(message)) => daemon.tell(Event::Message {
+                Ok(Some(message)) => daemon.handle_event(Event::Message {
                     connection,
                     message,
                 }),
@@ -116,7 +121,7 @@
             "code" => "CS2304", "detail" => error.to_string());
     }
     daemon.connections.close(connection);
-    daemon.tell(Event::Disconnected { connection });
+    daemon.handle_event(Event::Disconnected { connection });
 }
 
 async fn wait_for_end(ended: Receiver<()>) -> Option<session::SessionError> {
@@ -124,14 +129,14 @@
     None
 }
 
-/// Waits until the sockets have taken what is queued.
+/// Waits until the queues of all connections are empty, for at most `FLUSH_LIMIT_MS`.
 pub async fn flush(daemon: &Rc<Daemon>) {
     let flushed = async {
         while !daemon.connections.is_flushed() {
             smol::Timer::after(FLUSH_POLL_MS).await;
         }
-        // The last batch has left the queue and may still be on its way to the socket.
+        // The last batch has left its queue but may not be written to the socket yet.
         smol::Timer::after(FLUSH_POLL_MS).await;
     };
-    within(FLUSH_LIMIT_MS, flushed).await;
+    with_timeout(FLUSH_LIMIT_MS, flushed).await;
 }
--- a/components/agent/src/daemon/engine.rs
+++ b/components/agent/src/daemon/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's control interface over HTTP.
+//! HTTP client of the engine's control interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,16 +22,16 @@
 use crate::event::EngineState;
 use crate::event::OrderOutcome;
 
-/// Time for the engine to answer a question about itself.
-const ANSWER_LIMIT_MS: Duration = Duration::from_secs(2);
-/// Time for the engine to take an order on; `order_settle_ms` must be longer.
+/// Timeout of state, load and cache queries.
+const QUERY_LIMIT_MS: Duration = Duration::from_secs(2);
+/// Timeout for the reply to an order; must be shorter than `order_settle_ms`.
 const ORDER_LIMIT_MS: Duration = Duration::from_secs(5);
-/// Largest answer.
+/// Maximum length of a reply.
 const BODY_LIMIT_BYTES: usize = 1 << 20;
 
 /// Client of the engine's control interface.
 pub struct EngineClient {
-    questions: Client,
+    queries: Client,
     orders: Client,
 }
 
@@ -48,25 +48,25 @@
 }
 
 impl EngineClient {
-    /// Opens no connection yet.
+    /// Creates a client without open connections.
     pub fn new(address: SocketAddr) -> Self {
         Self {
-            questions: Client::new(address, limits(ANSWER_LIMIT_MS)),
+            queries: Client::new(address, limits(QUERY_LIMIT_MS)),
             orders: Client::new(address, limits(ORDER_LIMIT_MS)),
         }
     }
 
-    /// State of the engine.
+    /// Fetches the engine's state.
     pub async fn state(&self) -> Result<EngineState, String> {
         self.get("/state").await
     }
 
-    /// Load of the engine.
+    /// Fetches the engine's load; `None` on any error.
     pub async fn load(&self) -> Option<EngineLoad> {
         self.get("/load").await.ok()
     }
 
-    /// Cache events after a sequence number.
+    /// Fetches the cache events after a sequence number; `None` on any error.
     pub async fn cache_events(&self, after: u64) -> Option<Vec<CacheEvent>> {
         let path = format!("/cache/events?after={after}");
         let answer: CacheAnswer = self.get(&path).await.ok()?;
@@ -75,22 +75,22 @@
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, String> {
         let request = self
-            .questions
+            .queries
             .request(Method::Get, path)
             .map_err(|error| error.to_string())?;
         let response = self
-            .questions
+            .queries
             .send_whole(request)
             .await
             .map_err(|error| error.to_string())?;
         if !response.status.is_success() {
-            return Err(format!("{path} answered {}", response.status));
+            return Err(format!("{path} returned status {}", response.status));
         }
         serde_json::from_slice(&response.body).map_err(|error| format!("{path}: {error}"))
     }
 
-    /// Passes an order on.
-    pub async fn pass(&self, order: &Order) -> OrderOutcome {
+    /// Sends an order.
+    pub async fn send_order(&self, order: &Order) -> OrderOutcome {
         let body = OrderBody {
             number: order.number,
             fencing: order.fencing,
@@ -108,7 +108,7 @@
                 match response.status {
                     StatusCode::Conflict => OrderOutcome::Fenced(detail),
                     StatusCode::ServiceUnavailable => OrderOutcome::Refused(detail),
-                    // An engine that fails may have begun the change.
+                    // An engine that fails with a server error may have begun the change.
                     status if status.is_server_error() => OrderOutcome::Unanswered(detail),
                     _ => OrderOutcome::Refused(detail),
                 }
@@ -129,7 +129,7 @@
 fn limits(answer_ms: Duration) -> ClientLimits {
     ClientLimits {
         idle_connections: 2,
-        connect_ms: ANSWER_LIMIT_MS,
+        connect_ms: QUERY_LIMIT_MS,
         head_ms: answer_ms,
         stall_ms: answer_ms,
         body_limit_bytes: BODY_LIMIT_BYTES,
--- a/components/agent/src/daemon/log.rs
+++ b/components/agent/src/daemon/log.rs
@@ -1,4 +1,4 @@
-//! Log events of the state machine, as numbered records.
+//! Writes log events of the state machine as structured records.
 
 use slog::Logger;
 use slog::error;
@@ -6,58 +6,58 @@
 use slog::warn;
 use wire::Rejection;
 
-use crate::report::Note;
+use crate::log_event::LogEvent;
 
 /// Writes one event.
-pub fn write(logger: &Logger, note: &Note) {
-    let code = note.code();
-    match note {
-        Note::Registered { applied } => {
+pub fn write(logger: &Logger, event: &LogEvent) {
+    let code = event.code();
+    match event {
+        LogEvent::Registered { applied } => {
             info!(logger, "target row held"; "code" => code, "applied" => applied);
         }
-        Note::TableFailed { step, detail } => {
-            warn!(logger, "table call failed, will be repeated";
+        LogEvent::TableFailed { step, detail } => {
+            warn!(logger, "table call failed, will be retried";
                 "code" => code, "step" => *step, "detail" => detail);
         }
-        Note::Superseded { by } => {
+        LogEvent::Superseded { by } => {
             error!(logger, "another run holds the target";
                 "code" => code, "by" => format!("{by:016x}"));
         }
-        Note::Leaving { in_service } => {
+        LogEvent::Leaving { in_service } => {
             info!(logger, "stopping"; "code" => code, "in_service" => in_service);
         }
-        Note::RegistrationRefused { detail } => {
-            error!(logger, "target cannot be held"; "code" => code, "detail" => detail);
+        LogEvent::RegistrationRefused { detail } => {
+            error!(logger, "registration refused"; "code" => code, "detail" => detail);
         }
-        Note::Released => info!(logger, "target row released"; "code" => code),
-        Note::OrderStarted { number, kind } => {
+        LogEvent::Released => info!(logger, "target row released"; "code" => code),
+        LogEvent::OrderStarted { number, kind } => {
             info!(logger, "order started"; "code" => code, "number" => number, "kind" => kind);
         }
-        Note::OrderPassed { number, kind } => {
+        LogEvent::OrderSent { number, kind } => {
             info!(logger, "order passed to the engine";
                 "code" => code, "number" => number, "kind" => kind);
         }
-        Note::OrderFailed { number, detail } => {
+        LogEvent::OrderFailed { number, detail } => {
             warn!(logger, "order not taken by the engine";
                 "code" => code, "number" => number, "detail" => detail);
         }
-        Note::OrderDone { number } => {
+        LogEvent::OrderExecuted { number } => {
             info!(logger, "order executed"; "code" => code, "number" => number);
         }
-        Note::OrderSuperseded { number, by } => {
+        LogEvent::OrderSuperseded { number, by } => {
             info!(logger, "order superseded"; "code" => code, "number" => number, "by" => by);
         }
-        Note::StateDiffers { number } => {
+        LogEvent::StateDiffers { number } => {
             warn!(logger, "engine is not in the ordered state";
                 "code" => code, "number" => number);
         }
-        Note::EngineAway { away: true, detail } => {
+        LogEvent::EngineAway { away: true, detail } => {
             warn!(logger, "engine does not answer"; "code" => code, "detail" => detail);
         }
-        Note::EngineAway { away: false, .. } => {
+        LogEvent::EngineAway { away: false, .. } => {
             info!(logger, "engine answers"; "code" => code);
         }
-        Note::RunFailed {
+        LogEvent::RunFailed {
             attempt,
             sent,
             detail,
@@ -66,7 +66,7 @@
                 "code" => code, "request" => format!("{:032x}", attempt.request),
                 "attempt" => attempt.number, "sent" => sent, "detail" => detail);
         }
-        Note::RunResumed {
+        LogEvent::RunResumed {
             attempt,
             offset,
             detail,
@@ -75,20 +75,20 @@
                 "code" => code, "request" => format!("{:032x}", attempt.request),
                 "attempt" => attempt.number, "offset" => offset, "detail" => detail);
         }
-        Note::AnswerDropped { attempt } => {
+        LogEvent::AnswerDropped { attempt } => {
             warn!(logger, "answer too long to be kept for resumption";
                 "code" => code, "request" => format!("{:032x}", attempt.request),
                 "attempt" => attempt.number);
         }
-        Note::ConnectionRefused { detail } => {
+        LogEvent::ConnectionRefused { detail } => {
             warn!(logger, "connection refused"; "code" => code, "detail" => *detail);
         }
     }
 }
 
-/// Label of a rejection in metrics.
-pub fn reason(reason: Rejection) -> &'static str {
-    match reason {
+/// Metric label of a rejection reason.
+pub fn rejection_label(rejection: Rejection) -> &'static str {
+    match rejection {
         Rejection::Leaving => "leaving",
         Rejection::Away => "away",
         Rejection::Overloaded => "overloaded",
--- a/components/agent/src/daemon/mod.rs
+++ b/components/agent/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: one loop on one thread that carries out what the state machine asks for.
+//! The daemon: carries out the actions of the state machine on one thread.
 
 mod connections;
 mod engine;
@@ -39,10 +39,10 @@
 use crate::event::ExitReason;
 use crate::limits::Limits;
 use crate::limits::TICK_MS;
-use crate::machine::Agent;
+use crate::state_machine::Agent;
 
-/// What a daemon is made of.
-pub struct Parts {
+/// Configuration and dependencies of a daemon.
+pub struct DaemonConfig {
     /// Identity and limits.
     pub limits: Limits,
     /// Address to listen on for entries.
@@ -51,25 +51,25 @@
     pub target: SocketAddr,
     /// Keys for frames and datagrams.
     pub keys: Keyring,
-    /// The table, guarded.
+    /// Client of the table, with retries.
     pub table: Rc<dyn Table>,
-    /// The weight store.
+    /// Client of the weight store.
     pub weights: Rc<dyn WeightStore>,
     /// Destination of log events.
     pub logger: Logger,
-    /// What SIGHUP reads again; without it the signal is not handled.
-    pub reload: Option<Reload>,
+    /// Settings to reload on SIGHUP; with `None` the signal is not handled.
+    pub reload: Option<ReloadableSettings>,
 }
 
-/// Settings in force and the file that they came from.
-pub struct Reload {
-    /// In force.
+/// Current settings and the file to reload them from.
+pub struct ReloadableSettings {
+    /// Current settings.
     pub settings: AgentSettings,
-    /// Read again on SIGHUP.
+    /// File to read on SIGHUP.
     pub file: PathBuf,
 }
 
-/// Everything that the tasks of a daemon share.
+/// State shared by the tasks of a daemon.
 pub(crate) struct Daemon {
     agent: RefCell<Agent>,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
@@ -98,17 +98,21 @@
 ///
 /// # Errors
 ///
-/// The port is taken, or another run of the agent holds the target.
-pub fn serve(parts: Parts) -> eyre::Result<()> {
+/// The port is in use, another agent process has registered for the target, or the target was
+/// withdrawn.
+pub fn serve(parts: DaemonConfig) -> eyre::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let run = serve_on(parts, executor.clone());
     smol::block_on(executor.run(run))
 }
 
-async fn serve_on(mut parts: Parts, executor: Rc<LocalExecutor<'static>>) -> eyre::Result<()> {
+async fn serve_on(
+    mut parts: DaemonConfig,
+    executor: Rc<LocalExecutor<'static>>,
+) -> eyre::Result<()> {
     let address = parts.listen;
     let (listener, udp) = server::bind(address)?;
-    let (exit, exited) = async_channel::bounded(1);
+    let (exit, has_exited) = async_channel::bounded(1);
     let reload = parts.reload.take();
     let daemon = Rc::new(Daemon::new(parts, executor, udp, exit));
     signals::spawn(&daemon).wrap_err("cannot listen for signals")?;
@@ -117,12 +121,12 @@
     }
     server::spawn(&daemon, listener);
     spawn_ticks(&daemon);
-    let reason = wait(exited).await;
+    let reason = wait_for_exit(has_exited).await;
     connections::flush(&daemon).await;
     match reason {
         ExitReason::Stopped => Ok(()),
         ExitReason::Superseded => Err(eyre::eyre!(
-            "another run of the agent holds the target; stop one of the two"
+            "another agent process has registered for the target; stop one of the two"
         )),
         ExitReason::Withdrawn => Err(eyre::eyre!(
             "the target was withdrawn; start the agent under another target name"
@@ -130,16 +134,16 @@
     }
 }
 
-async fn wait(exited: Receiver<ExitReason>) -> ExitReason {
-    exited.recv().await.unwrap_or(ExitReason::Stopped)
+async fn wait_for_exit(has_exited: Receiver<ExitReason>) -> ExitReason {
+    has_exited.recv().await.unwrap_or(ExitReason::Stopped)
 }
 
 fn spawn_ticks(daemon: &Rc<Daemon>) {
     let ticking = daemon.clone();
     daemon.spawn(async move {
         loop {
-            ticking.tell(Event::Tick);
-            ticking.runs.record(&ticking.agent.borrow());
+            ticking.handle_event(Event::Tick);
+            ticking.runs.record_gauges(&ticking.agent.borrow());
             smol::Timer::after(TICK_MS).await;
         }
     });
@@ -147,7 +151,7 @@
 
 impl Daemon {
     fn new(
-        parts: Parts,
+        parts: DaemonConfig,
         executor: Rc<LocalExecutor<'static>>,
         udp: UdpSocket,
         exit: Sender<ExitReason>,
@@ -169,12 +173,12 @@
         }
     }
 
-    /// Tells the state machine of an event and carries out its actions, in order. No action
-    /// calls back before all of them are under way.
-    pub(crate) fn tell(self: &Rc<Self>, event: Event) {
+    /// Passes an event to the state machine and carries out the resulting actions, in order.
+    /// Actions report results only from their own tasks, so no event is handled in between.
+    pub(crate) fn handle_event(self: &Rc<Self>, event: Event) {
         let actions = self.agent.borrow_mut().handle(Instant::now(), event);
         for action in actions {
-            self.perform(action);
+            self.execute(action);
         }
     }
 
@@ -182,7 +186,7 @@
         self.executor.spawn(task).detach();
     }
 
-    fn perform(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send {
                 connection,
@@ -207,47 +211,47 @@
             } => runs::resume(self, run, attempt, offset),
             Action::Release { run } => self.runs.release(run),
             Action::Abort { run, attempt } => runs::abort(self, run, attempt),
-            Action::ReadEngineState => self.ask(|daemon| async move {
+            Action::ReadEngineState => self.spawn_call(|daemon| async move {
                 let state = daemon.engine.state().await;
                 Some(Event::EngineState(state))
             }),
-            Action::ReadEngineLoad => self.ask(|daemon| async move {
+            Action::ReadEngineLoad => self.spawn_call(|daemon| async move {
                 let load = daemon.engine.load().await;
                 load.map(Event::EngineLoad)
             }),
-            Action::ReadCacheEvents { after } => self.ask(move |daemon| async move {
+            Action::ReadCacheEvents { after } => self.spawn_call(move |daemon| async move {
                 let events = daemon.engine.cache_events(after).await;
                 events.map(Event::CacheEvents)
             }),
-            Action::PassOrder(order) => self.ask(move |daemon| async move {
-                let outcome = daemon.engine.pass(&order).await;
+            Action::PassOrder(order) => self.spawn_call(move |daemon| async move {
+                let outcome = daemon.engine.send_order(&order).await;
                 Some(Event::OrderPassed(outcome))
             }),
-            Action::ReserveSlot { model, version } => self.ask(move |daemon| async move {
+            Action::ReserveSlot { model, version } => self.spawn_call(move |daemon| async move {
                 let slot = daemon.weights.reserve(&model, &version).await;
                 Some(Event::Slot(slot))
             }),
-            Action::Table { operation, request } => self.ask(move |daemon| async move {
+            Action::Table { operation, request } => self.spawn_call(move |daemon| async move {
                 let result = daemon.table.call(request).await;
                 Some(Event::TableDone { operation, result })
             }),
-            Action::Log(note) => log::write(&self.logger.borrow(), &note),
+            Action::Log(event) => log::write(&self.logger.borrow(), &event),
             Action::Exit(reason) => {
                 let _ = self.exit.try_send(reason);
             }
         }
     }
 
-    /// Asks something outside and tells the state machine the answer, if there is one.
-    fn ask<F>(self: &Rc<Self>, question: impl FnOnce(Rc<Self>) -> F)
+    /// Spawns a call, and handles the event that it returns, if any.
+    fn spawn_call<F>(self: &Rc<Self>, call: impl FnOnce(Rc<Self>) -> F)
     where
         F: Future<Output = Option<Event>> + 'static,
     {
-        let answer = question(self.clone());
+        let answer = call(self.clone());
         let daemon = self.clone();
         self.spawn(async move {
             if let Some(event) = answer.await {
-                daemon.tell(event);
+                daemon.handle_event(event);
             }
         });
     }
@@ -258,12 +262,11 @@
         };
         let daemon = self.clone();
         self.spawn(async move {
-            // A lost datagram is made up for by the next one.
+            // The entry's next probe replaces a lost reply.
             let _ = daemon.udp.send_to(&bytes, to).await;
         });
     }
 
-    /// Keys for a new connection.
     pub(crate) fn keys(&self) -> Keyring {
         self.keys.borrow().clone()
     }
@@ -281,7 +284,7 @@
     match message {
         ToEntry::Accepted { .. } => metrics::counter!("agent_accepted_total").increment(1),
         ToEntry::Rejected { reason, .. } => {
-            metrics::counter!("agent_rejected_total", "reason" => log::reason(*reason))
+            metrics::counter!("agent_rejected_total", "reason" => log::rejection_label(*reason))
                 .increment(1);
         }
         ToEntry::End { .. } => metrics::counter!("agent_answered_total").increment(1),
--- a/components/agent/src/daemon/runs.rs
+++ b/components/agent/src/daemon/runs.rs
@@ -1,4 +1,4 @@
-//! Runs of attempts at the target over HTTP.
+//! HTTP client that runs attempts at the target.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,38 +25,39 @@
 use crate::event::Event;
 use crate::event::RunId;
 use crate::event::TargetEvent;
-use crate::machine::Agent;
+use crate::state_machine::Agent;
 
-/// Most cache pieces named in the head of a request; the head of HTTP messages is bounded.
-const PIECE_LIMIT: usize = 128;
-/// Idle connections to the target.
+/// Maximum number of cache pieces in the request header, because the length of a head is limited.
+const CACHE_PIECE_LIMIT: usize = 128;
+/// Maximum number of idle connections to the target.
 const IDLE_CONNECTIONS: usize = 128;
-/// The state machine bounds runs by their deadlines; this only frees what it forgot.
+/// Timeout for runs that the state machine fails to end; it normally ends them by their deadline.
 const ANSWER_LIMIT_MS: Duration = Duration::from_hours(1);
 
-/// Time without a byte in the middle of an engine's answer after which its connection is taken for
-/// silent. Longer than the pauses of a busy engine; a false alarm costs one more connection.
-const ENGINE_SILENCE_MS: Duration = Duration::from_secs(5);
-/// Time for an engine to begin with the rest of an answer, which it has at hand.
+/// Time without a byte within an engine's answer after which its connection counts as lost. Longer
+/// than the pauses of a busy engine; a false alarm costs one more connection.
+const ENGINE_STALL_LIMIT_MS: Duration = Duration::from_secs(5);
+/// Timeout for the head of a resumed answer, which the engine has in memory.
 const RESUME_HEAD_LIMIT_MS: Duration = Duration::from_secs(2);
-/// Field in which an engine states the BLAKE3 digest, in hex, of the bytes before the offset.
+/// Response field with the engine's BLAKE3 digest, in hex, of the bytes before the offset.
 const PREFIX_DIGEST: &str = "x-prefix-digest";
 
-/// Limits of the client for runs. Plain services cannot continue an answer, so they have time.
+/// Limits of the client for runs. Answers of plain services cannot be resumed, so only
+/// `ANSWER_LIMIT_MS` applies to them.
 pub fn client_limits(kind: ServiceKind) -> ClientLimits {
     ClientLimits {
         idle_connections: IDLE_CONNECTIONS,
         head_ms: ANSWER_LIMIT_MS,
         stall_ms: match kind {
-            ServiceKind::Model => ENGINE_SILENCE_MS,
+            ServiceKind::Model => ENGINE_STALL_LIMIT_MS,
             ServiceKind::Plain => ANSWER_LIMIT_MS,
         },
         ..ClientLimits::default()
     }
 }
 
-/// Limits of the client for the rest of an answer. Each uses a connection of its own, because idle
-/// ones may have gone silent together with the one that was lost.
+/// Limits of the client for resumed answers. Each request uses a new connection, because idle ones
+/// may have been lost together with the first.
 fn resume_limits() -> ClientLimits {
     ClientLimits {
         idle_connections: 0,
@@ -66,37 +67,36 @@
     }
 }
 
-/// Runs under way.
+/// Runs in progress.
 #[derive(Default)]
 pub struct Runs {
-    open: RefCell<HashMap<RunId, Open>>,
+    open: RefCell<HashMap<RunId, OpenRun>>,
 }
 
-struct Open {
-    reads: Sender<()>,
-    /// Dropped to give the run up.
+struct OpenRun {
+    read_permits: Sender<()>,
+    /// Dropped to end the run.
     task: Task<()>,
 }
 
 impl Runs {
-    /// Lets a run deliver its next bytes.
+    /// Permits the delivery of a run's next bytes.
     pub fn read(&self, run: RunId) {
         if let Some(open) = self.open.borrow().get(&run) {
-            let _ = open.reads.try_send(());
+            let _ = open.read_permits.try_send(());
         }
     }
 
-    /// Stops reading a run.
+    /// Ends the delivery of a run's answer.
     pub fn release(&self, run: RunId) {
         self.open.borrow_mut().remove(&run);
     }
 
-    /// Records gauges.
     #[expect(
         clippy::unused_self,
         reason = "gauges of the daemon's runs belong to it"
     )]
-    pub fn record(&self, agent: &Agent) {
+    pub fn record_gauges(&self, agent: &Agent) {
         let load = agent.load();
         metrics::gauge!("agent_running").set(f64::from(load.running));
         metrics::gauge!("agent_queued").set(f64::from(load.queued));
@@ -109,15 +109,15 @@
 pub fn start(daemon: &Rc<Daemon>, run: RunId, attempt: AttemptId, priority: u8, work: Work) {
     let running = daemon.clone();
     spawn(daemon, run, move |permits| async move {
-        exchange(&running, run, attempt, priority, work, permits).await
+        run_request(&running, run, attempt, priority, work, permits).await
     });
 }
 
-/// Asks the engine for the rest of an answer.
+/// Requests the rest of an answer from the engine.
 pub fn resume(daemon: &Rc<Daemon>, run: RunId, attempt: AttemptId, offset: u64) {
     let running = daemon.clone();
     spawn(daemon, run, move |permits| async move {
-        exchange_rest(&running, run, attempt, offset, permits).await
+        resume_request(&running, run, attempt, offset, permits).await
     });
 }
 
@@ -125,7 +125,7 @@
 where
     F: Future<Output = Result<(), ClientError>> + 'static,
 {
-    let (reads, permits) = async_channel::bounded(1);
+    let (read_permits, permits) = async_channel::bounded(1);
     let running = daemon.clone();
     let exchange = exchange(permits);
     let task = daemon.executor.spawn(async move {
@@ -136,18 +136,19 @@
                 detail: error.to_string(),
             },
         };
-        running.tell(Event::Target { run, event: last });
-        // Dropping the handle of the task that runs here is only safe after its last await.
+        running.handle_event(Event::Target { run, event: last });
+        // A task must not be cancelled by dropping its handle from within, so the handle is
+        // detached after the last `await`.
         let ended = running.runs.open.borrow_mut().remove(&run);
         if let Some(ended) = ended {
             ended.task.detach();
         }
     });
-    let open = Open { reads, task };
+    let open = OpenRun { read_permits, task };
     daemon.runs.open.borrow_mut().insert(run, open);
 }
 
-/// Drops a run; an engine is told to stop it.
+/// Ends a run; an engine is told to stop it.
 pub fn abort(daemon: &Rc<Daemon>, run: RunId, attempt: AttemptId) {
     daemon.runs.open.borrow_mut().remove(&run);
     if !daemon.is_model {
@@ -155,15 +156,15 @@
     }
     let client = daemon.client.clone();
     daemon.spawn(async move {
-        let path = format!("/requests/{}", request_name(attempt));
+        let path = format!("/requests/{}", engine_request_id(attempt));
         if let Ok(request) = client.request(http_types::Method::Delete, &path) {
-            // An engine that cannot be told stops when it sees that the connection is closed.
+            // Best effort: the engine also stops the run when its connection closes.
             let _ = client.send_whole(request).await;
         }
     });
 }
 
-async fn exchange(
+async fn run_request(
     daemon: &Rc<Daemon>,
     run: RunId,
     attempt: AttemptId,
@@ -171,10 +172,10 @@
     work: Work,
     permits: Receiver<()>,
 ) -> Result<(), ClientError> {
-    let request = build(daemon, attempt, priority, work)?;
+    let request = build_request(daemon, attempt, priority, work)?;
     let response = daemon.client.send(request).await?;
-    let (content_type, headers) = head(daemon, &response)?;
-    daemon.tell(Event::Target {
+    let (content_type, headers) = parse_head(daemon, &response)?;
+    daemon.handle_event(Event::Target {
         run,
         event: TargetEvent::Head {
             status: response.status.into(),
@@ -182,10 +183,10 @@
             headers,
         },
     });
-    deliver(daemon, run, response, permits).await
+    relay_body(daemon, run, response, permits).await
 }
 
-async fn exchange_rest(
+async fn resume_request(
     daemon: &Rc<Daemon>,
     run: RunId,
     attempt: AttemptId,
@@ -193,7 +194,7 @@
     permits: Receiver<()>,
 ) -> Result<(), ClientError> {
     let client = Client::new(daemon.client.addr(), resume_limits());
-    let path = format!("/requests/{}?offset={offset}", request_name(attempt));
+    let path = format!("/requests/{}?offset={offset}", engine_request_id(attempt));
     let request = client.request(http_types::Method::Get, &path)?;
     let response = client.send(request).await?;
     match response.status {
@@ -201,7 +202,7 @@
         StatusCode::NotFound | StatusCode::Gone | StatusCode::RequestedRangeNotSatisfiable => {
             let detail = format!("the engine cannot continue the answer: {}", response.status);
             let event = TargetEvent::Forgotten { detail };
-            daemon.tell(Event::Target { run, event });
+            daemon.handle_event(Event::Target { run, event });
             return Ok(());
         }
         status => {
@@ -209,9 +210,9 @@
             return Err(ClientError::Interrupted { detail });
         }
     }
-    let (content_type, headers) = head(daemon, &response)?;
+    let (content_type, headers) = parse_head(daemon, &response)?;
     let prefix = response.headers.get(PREFIX_DIGEST);
-    daemon.tell(Event::Target {
+    daemon.handle_event(Event::Target {
         run,
         event: TargetEvent::Resumed {
             status: response.status.into(),
@@ -220,11 +221,14 @@
             prefix: prefix.and_then(|digest| parse_digest(digest.as_str())),
         },
     });
-    deliver(daemon, run, response, permits).await
+    relay_body(daemon, run, response, permits).await
 }
 
-/// Media type and other fields of an answer.
-fn head(daemon: &Daemon, response: &StreamingResponse) -> Result<(String, Headers), ClientError> {
+/// Content type and relayed fields of a response head.
+fn parse_head(
+    daemon: &Daemon,
+    response: &StreamingResponse,
+) -> Result<(String, Headers), ClientError> {
     let content_type = response
         .headers
         .get("content-type")
@@ -236,14 +240,14 @@
     };
     let headers = http::answer_headers(&response.headers, kind).map_err(|error| {
         ClientError::Interrupted {
-            detail: format!("head of the answer refused: {error}"),
+            detail: format!("invalid response head: {error}"),
         }
     })?;
     Ok((content_type, headers))
 }
 
-/// Delivers the body as it is asked for.
-async fn deliver(
+/// Delivers chunks of the body, one for each permit.
+async fn relay_body(
     daemon: &Rc<Daemon>,
     run: RunId,
     mut response: StreamingResponse,
@@ -251,13 +255,13 @@
 ) -> Result<(), ClientError> {
     loop {
         if permits.recv().await.is_err() {
-            // The run was given up; nobody listens to it any more.
+            // The run was released or aborted, so its result is ignored.
             return Ok(());
         }
         let Some(bytes) = response.next_chunk().await? else {
             return Ok(());
         };
-        daemon.tell(Event::Target {
+        daemon.handle_event(Event::Target {
             run,
             event: TargetEvent::Bytes(bytes),
         });
@@ -275,26 +279,28 @@
     Some(digest)
 }
 
-fn build(
+fn build_request(
     daemon: &Daemon,
     attempt: AttemptId,
     priority: u8,
     work: Work,
 ) -> Result<Request, ClientError> {
-    let mut request = daemon.client.request(method(work.method), &work.path)?;
+    let mut request = daemon
+        .client
+        .request(http_method(work.method), &work.path)?;
     for field in work.headers.iter() {
         request.append_header(field.name.as_str(), field.value.as_str());
     }
     if !work.content_type.is_empty() {
         request.insert_header("content-type", work.content_type.as_str());
     }
-    request.insert_header("x-request-id", request_name(attempt));
+    request.insert_header("x-request-id", engine_request_id(attempt));
     request.insert_header("x-priority", priority.to_string());
     if daemon.is_model && !work.prefixes.is_empty() {
         let pieces: Vec<String> = work
             .prefixes
             .iter()
-            .take(PIECE_LIMIT)
+            .take(CACHE_PIECE_LIMIT)
             .map(|piece| format!("{piece:016x}"))
             .collect();
         request.insert_header("x-cache-pieces", pieces.join(","));
@@ -305,11 +311,11 @@
     Ok(request)
 }
 
-fn request_name(attempt: AttemptId) -> String {
+fn engine_request_id(attempt: AttemptId) -> String {
     format!("{:032x}-{}", attempt.request, attempt.number)
 }
 
-fn method(method: Method) -> http_types::Method {
+fn http_method(method: Method) -> http_types::Method {
     match method {
         Method::Get => http_types::Method::Get,
         Method::Head => http_types::Method::Head,
--- a/components/agent/src/daemon/server.rs
+++ b/components/agent/src/daemon/server.rs
@@ -1,4 +1,4 @@
-//! Sockets for entries: TCP connections with frames, and UDP on the same port number.
+//! Sockets for entries: TCP for sessions, and UDP on the same port for probes.
 
 use std::net::SocketAddr;
 use std::net::TcpListener as StdListener;
@@ -16,26 +16,26 @@
 use crate::daemon::connections;
 use crate::event::Event;
 
-/// Pause after a failed accept, for example without free file descriptors.
+/// Pause after a socket error, for example when there are no free file descriptors.
 const ACCEPT_PAUSE_MS: Duration = Duration::from_millis(100);
 
-/// Binds both sockets. The port is not shared: a paused run of the agent still holds it, so
-/// that no second one starts beside it.
+/// Binds both sockets. The port is exclusive, so that no second agent can start while a paused one
+/// still holds the port.
 pub fn bind(address: SocketAddr) -> eyre::Result<(TcpListener, UdpSocket)> {
-    let fix = || {
+    let context = || {
         format!(
             "cannot bind {address}; another agent may run on this host, or `listen` of the \
              settings names an address of another host"
         )
     };
-    let listener = StdListener::bind(address).wrap_err_with(fix)?;
-    let udp = std::net::UdpSocket::bind(address).wrap_err_with(fix)?;
+    let listener = StdListener::bind(address).wrap_err_with(context)?;
+    let udp = std::net::UdpSocket::bind(address).wrap_err_with(context)?;
     let listener = smol::Async::new(listener)?.into();
     let udp = smol::Async::new(udp)?.into();
     Ok((listener, udp))
 }
 
-/// Serves both sockets.
+/// Spawns the tasks that serve both sockets.
 pub fn spawn(daemon: &Rc<Daemon>, listener: TcpListener) {
     let accepting = daemon.clone();
     daemon.spawn(async move {
@@ -63,12 +63,12 @@
                     sequence,
                     head,
                 }) => {
-                    receiving.tell(Event::Watched {
+                    receiving.handle_event(Event::Watched {
                         entry,
                         sequence,
                         head,
                     });
-                    receiving.tell(Event::Probe { from, sequence });
+                    receiving.handle_event(Event::Probe { from, sequence });
                 }
                 Ok(_) => {}
                 Err(_) => metrics::counter!("agent_datagrams_refused_total").increment(1),
@@ -77,11 +77,11 @@
     });
 }
 
-/// Ends a future after a time.
-pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
-    let given_up = async {
+/// Awaits a future for at most `limit`; returns `None` on timeout.
+pub async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+    let expired = async {
         smol::Timer::after(limit).await;
         None
     };
-    async { Some(future.await) }.or(given_up).await
+    async { Some(future.await) }.or(expired).await
 }
--- a/components/agent/src/daemon/signals.rs
+++ b/components/agent/src/daemon/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask the process to stop or to read its settings again.
+//! Handlers of the signals that stop the process or reload its settings.
 
 use std::io;
 use std::rc::Rc;
@@ -11,11 +11,11 @@
 use slog::info;
 
 use crate::daemon::Daemon;
-use crate::daemon::Reload;
+use crate::daemon::ReloadableSettings;
 use crate::daemon::start;
 use crate::event::Event;
 
-/// Turns SIGTERM and SIGINT into `Leaving`. Further signals cut nothing off.
+/// Turns SIGTERM and SIGINT into [`Event::Leaving`]. Repeated signals do not interrupt work.
 pub fn spawn(daemon: &Rc<Daemon>) -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     let stopping = daemon.clone();
@@ -23,19 +23,19 @@
         while let Some(Ok(signal)) = signals.next().await {
             info!(stopping.logger(), "signal received";
                 "code" => "CS2006", "signal" => format!("{signal:?}"));
-            stopping.tell(Event::Leaving);
+            stopping.handle_event(Event::Leaving);
         }
     });
     Ok(())
 }
 
-/// Reads the settings again on every SIGHUP. Connections that are open keep the keys that they
-/// began with; new ones use the new keys.
-pub fn spawn_reload(daemon: &Rc<Daemon>, reload: Reload) -> io::Result<()> {
+/// Reloads the settings on every SIGHUP. Open connections keep their keys; new ones use the
+/// reloaded keys.
+pub fn spawn_reload(daemon: &Rc<Daemon>, reload: ReloadableSettings) -> io::Result<()> {
     let mut signals = Signals::new([Signal::Hup])?;
     let daemon = daemon.clone();
     daemon.clone().spawn(async move {
-        let Reload { mut settings, file } = reload;
+        let ReloadableSettings { mut settings, file } = reload;
         while signals.next().await.is_some() {
             match settings::reload_agent(&settings, &file) {
                 Ok(new) => {
@@ -61,6 +61,6 @@
             let incarnation = self.agent.borrow().incarnation();
             *self.logger.borrow_mut() = start::logger(new, incarnation);
         }
-        self.tell(Event::Concurrency(start::concurrency(new)));
+        self.handle_event(Event::ConcurrencyChanged(start::concurrency(new)));
     }
 }
--- a/components/agent/src/daemon/start.rs
+++ b/components/agent/src/daemon/start.rs
@@ -1,4 +1,4 @@
-//! Start of the daemon from its settings.
+//! Starts the daemon from its settings.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 use types::Incarnation;
 use types::SystemClock;
 
-use crate::daemon::Parts;
-use crate::daemon::Reload;
+use crate::daemon::DaemonConfig;
+use crate::daemon::ReloadableSettings;
 use crate::daemon::serve;
 use crate::daemon::wall_ms;
 use crate::limits::Limits;
@@ -30,7 +30,8 @@
 ///
 /// # Errors
 ///
-/// The port is taken, another run of the agent holds the target, or the target was withdrawn.
+/// The settings have no key, the port is in use, another agent process has registered for the
+/// target, or the target was withdrawn.
 pub fn run(settings: AgentSettings, file: &Path) -> eyre::Result<()> {
     let limits = limits(&settings);
     let keys = startup::keyring(&settings.keys)
@@ -49,7 +50,7 @@
         limits.incarnation,
     );
     let weights = HttpWeightStore::new(settings.platform.weights, HttpOptions::default());
-    serve(Parts {
+    serve(DaemonConfig {
         limits,
         listen: settings.listen,
         target: settings.target.address,
@@ -57,14 +58,14 @@
         table: Rc::new(guarded),
         weights: Rc::new(weights),
         logger,
-        reload: Some(Reload {
+        reload: Some(ReloadableSettings {
             settings,
             file: file.to_owned(),
         }),
     })
 }
 
-/// Logger whose records name the target and the run.
+/// Logger whose records contain the target and the incarnation.
 pub fn logger(settings: &AgentSettings, incarnation: Incarnation) -> Logger {
     startup::logger(settings.log).new(o!(
         "target" => settings.target.name.clone(),
@@ -94,7 +95,7 @@
     }
 }
 
-/// Runs at the target at once.
+/// Maximum number of concurrent runs at the target.
 pub fn concurrency(settings: &AgentSettings) -> usize {
     usize::try_from(settings.concurrency).unwrap_or(usize::MAX)
 }
--- a/components/agent/src/engine_view.rs
+++ b/components/agent/src/engine_monitor.rs
@@ -1,4 +1,4 @@
-//! The agent's view of its engine, and the orders that lead from one state to another.
+//! Polls the engine's state and load, and derives the steps from one state to another.
 
 use std::time::Instant;
 
@@ -12,23 +12,22 @@
 use crate::limits::LOAD_POLL_MS;
 use crate::limits::STATE_POLL_MS;
 
-/// State that an engine should be in.
+/// State that the engine should be in.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Wanted {
-    /// Model, version and adapters.
+pub struct DesiredState {
+    /// Model, version and adapters to load.
     pub loaded: Loaded,
-    /// Role.
     pub role: Role,
 }
 
-impl Wanted {
-    /// State after an order has been executed.
+impl DesiredState {
+    /// State after execution of an order.
     #[must_use]
     pub fn after(&self, kind: &OrderKind) -> Self {
         let mut next = self.clone();
         match kind {
             OrderKind::LoadModel { model, version } => {
-                // Adapters belong to the model that they were made for.
+                // Adapters are specific to a model, so a new model starts without any.
                 next.loaded = Loaded {
                     model: model.clone(),
                     version: version.clone(),
@@ -36,8 +35,8 @@
                 };
             }
             OrderKind::LoadAdapter { adapter } => {
-                if let Err(place) = next.loaded.adapters.binary_search(adapter) {
-                    next.loaded.adapters.insert(place, adapter.clone());
+                if let Err(index) = next.loaded.adapters.binary_search(adapter) {
+                    next.loaded.adapters.insert(index, adapter.clone());
                 }
             }
             OrderKind::UnloadAdapter { adapter } => {
@@ -49,17 +48,17 @@
         next
     }
 
-    /// First step from the engine's state to this one; `None` if it is there.
+    /// First step from the engine's state to this one; `None` if the states match.
     #[must_use]
-    pub fn repair(&self, state: &EngineState) -> Option<OrderKind> {
-        let (wanted, actual) = (&self.loaded, &state.loaded);
-        if wanted.model != actual.model || wanted.version != actual.version {
+    pub fn next_step(&self, state: &EngineState) -> Option<OrderKind> {
+        let (desired, actual) = (&self.loaded, &state.loaded);
+        if desired.model != actual.model || desired.version != actual.version {
             return Some(OrderKind::LoadModel {
-                model: wanted.model.clone(),
-                version: wanted.version.clone(),
+                model: desired.model.clone(),
+                version: desired.version.clone(),
             });
         }
-        let missing = wanted
+        let missing = desired
             .adapters
             .iter()
             .find(|adapter| !actual.adapters.contains(adapter));
@@ -71,7 +70,7 @@
         let excess = actual
             .adapters
             .iter()
-            .find(|adapter| !wanted.adapters.contains(adapter));
+            .find(|adapter| !desired.adapters.contains(adapter));
         if let Some(adapter) = excess {
             return Some(OrderKind::UnloadAdapter {
                 adapter: adapter.clone(),
@@ -81,55 +80,57 @@
     }
 }
 
-/// Last known state of the engine.
+/// Last known state of the engine, and when to poll it again.
 #[derive(Default)]
-pub struct EngineView {
+pub struct EngineMonitor {
     state: Option<EngineState>,
-    /// When the read that gave `state` began.
-    read_began: Option<Instant>,
-    reading: Option<Instant>,
+    /// When the request that returned `state` was sent.
+    state_read_at: Option<Instant>,
+    read_started: Option<Instant>,
     state_due: Option<Instant>,
     load_due: Option<Instant>,
-    /// Last cache event seen.
+    /// Sequence number of the last cache event received.
     pub cache_sequence: u64,
 }
 
-impl EngineView {
-    /// State, if the engine answers.
+impl EngineMonitor {
+    /// Last state; `None` while the engine does not answer.
     #[must_use]
     pub fn state(&self) -> Option<&EngineState> {
         self.state.as_ref()
     }
 
-    /// State, if it was read after `since` and no change is under way.
+    /// Last state, if it was requested at or after `since` and the engine reports no change in
+    /// progress.
     #[must_use]
     pub fn settled_since(&self, since: Instant) -> Option<&EngineState> {
-        let is_fresh = self.read_began.is_some_and(|began| began >= since);
+        let is_fresh = self.state_read_at.is_some_and(|began| began >= since);
         self.state.as_ref().filter(|state| is_fresh && !state.away)
     }
 
-    /// Takes an answer; returns whether the engine began or ceased to answer.
-    pub fn answered(&mut self, state: Option<EngineState>) -> bool {
+    /// Records the result of a state request, `None` for a failed one; returns whether the engine
+    /// started or stopped answering.
+    pub fn record_state(&mut self, state: Option<EngineState>) -> bool {
         let changed = self.state.is_some() != state.is_some();
         if state.is_none() {
-            // It may have restarted when it answers again, and then numbers its events anew.
+            // The engine may have restarted, and then its event numbers start again at 1.
             self.cache_sequence = 0;
         }
         self.state = state;
-        self.read_began = self.reading.take();
+        self.state_read_at = self.read_started.take();
         changed
     }
 
-    /// Asks for the state and load when they are due.
+    /// Requests the state and load when they are due.
     pub fn poll(&mut self, now: Instant, changing: bool, out: &mut Vec<Action>) {
-        if self.reading.is_none() && self.state_due.is_none_or(|at| now >= at) {
+        if self.read_started.is_none() && self.state_due.is_none_or(|at| now >= at) {
             let interval = if changing {
                 CHANGE_POLL_MS
             } else {
                 STATE_POLL_MS
             };
             self.state_due = Some(now + interval);
-            self.reading = Some(now);
+            self.read_started = Some(now);
             out.push(Action::ReadEngineState);
         }
         if self.load_due.is_none_or(|at| now >= at) {
@@ -141,8 +142,8 @@
         }
     }
 
-    /// The state is read at the next chance.
-    pub fn hurry(&mut self) {
+    /// Makes the next `poll` request the state.
+    pub fn poll_soon(&mut self) {
         self.state_due = None;
     }
 }
--- a/components/agent/src/event.rs
+++ b/components/agent/src/event.rs
@@ -1,4 +1,4 @@
-//! What the state machine is told and what it asks for.
+//! Events and actions of the state machine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,95 +22,95 @@
 use wire::ToAgent;
 use wire::ToEntry;
 
-use crate::report::Note;
+use crate::log_event::LogEvent;
 
-/// Connection from an entry; never reused within a run.
+/// Id of a connection from an entry; never reused by an agent process.
 pub type ConnectionId = u64;
-/// One run of an attempt at the target; never reused within a run of the agent.
+/// Id of a run of an attempt at the target; never reused by an agent process.
 pub type RunId = u64;
-/// Table operation; never reused within a run.
+/// Id of a table operation; never reused by an agent process.
 pub type OperationId = u64;
 
-/// State of the engine as it reports it.
+/// State as the engine reports it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Model, version and adapters in force.
+    /// Loaded model, version and adapters.
     pub loaded: Loaded,
-    /// Role in force.
+    /// Current role.
     pub role: Role,
-    /// The engine is in the middle of a change.
+    /// A change is in progress and the engine accepts no work.
     pub away: bool,
-    /// Number of the last order that the engine obeyed; 0 after a restart of the engine, and for
+    /// Number of the last order that the engine executed; 0 after a restart of the engine, and for
     /// engines that do not report it.
     #[serde(default)]
     pub number: u64,
 }
 
-/// Load of the engine as it reports it, with its own lag.
+/// Load as the engine reports it, possibly delayed.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Age of the figures when they were reported.
+    /// Age of the values when the engine reported them.
     pub age_ms: u32,
     /// Prompt tokens still to be processed.
     pub prefill_backlog_tokens: u64,
-    /// Output tokens still expected.
+    /// Estimated output tokens still to be generated.
     pub decode_backlog_tokens: u64,
-    /// Share of the KV cache in use, in thousandths.
+    /// Used part of the KV cache, in thousandths.
     pub cache_used_permille: u16,
 }
 
-/// Outcome of passing an order to the engine.
+/// Outcome of sending an order to the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The engine took it on; its state shows when it is done.
+    /// The engine accepted the order; its state shows when the order is complete.
     Taken,
-    /// The engine refused it; nothing changed.
+    /// The engine refused the order without any effect.
     Refused(String),
-    /// The engine refused it because of its fencing number, which can only get older.
+    /// The engine refused the order because its fencing number is outdated. Retries cannot succeed.
     Fenced(String),
-    /// No byte reached the engine.
+    /// No byte of the order reached the engine.
     NotSent(String),
-    /// The answer is lost; the order may take effect now or later.
+    /// The reply was lost; the order may take effect now or later.
     Unanswered(String),
 }
 
-/// Progress of one run at the target.
+/// Progress of a run at the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TargetEvent {
-    /// Head of the answer.
+    /// The head of the answer has arrived.
     Head {
         /// HTTP status.
         status: u16,
-        /// Media type.
+        /// Value of the `content-type` field; empty if absent.
         content_type: String,
-        /// Other fields that the caller gets.
+        /// Other fields to relay to the caller.
         headers: Headers,
     },
     /// The engine continues the answer from the offset of an `Action::Resume`.
     Resumed {
         /// HTTP status.
         status: u16,
-        /// Media type.
+        /// Value of the `content-type` field; empty if absent.
         content_type: String,
-        /// Other fields that the caller gets.
+        /// Other fields to relay to the caller.
         headers: Headers,
-        /// Digest of the bytes before the offset, if the engine states a valid one.
+        /// Digest of the bytes before the offset; `None` if absent or malformed.
         prefix: Option<Digest>,
     },
-    /// The engine does not know the run that it was asked to continue.
+    /// The engine does not know the run that it was asked to resume, or cannot resume it.
     Forgotten {
-        /// For the log.
+        /// Cause, for the log.
         detail: String,
     },
-    /// Next bytes of the answer; follows an `Action::Read`.
+    /// Next bytes of the answer, in reply to an `Action::Read`.
     Bytes(Vec<u8>),
-    /// The answer is whole; follows an `Action::Read`.
+    /// End of the answer, in reply to an `Action::Read`.
     End,
-    /// The run ended without a whole answer.
+    /// The run ended without a complete answer.
     Failed {
-        /// At least one byte of the request may have reached the target.
+        /// Whether any byte of the request may have reached the target.
         sent: bool,
-        /// For the log.
+        /// Cause, for the log.
         detail: String,
     },
 }
@@ -118,34 +118,34 @@
 /// Input of the state machine.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// An entry probed the target; while it knows the head revision it announces orders.
+    /// An entry sent a probe. It sends hints about new orders while its head revision is not 0.
     Watched {
-        /// Run of the entry.
+        /// Incarnation of the entry.
         entry: Incarnation,
-        /// Grows with every probe.
+        /// Increases with every probe of the entry.
         sequence: u64,
         /// Head revision, or 0 if the entry may have missed changes.
         head: Revision,
     },
-    /// The settings allow another number of runs at the target at once.
-    Concurrency(usize),
-    /// An entry's message.
+    /// The reloaded settings have a new limit for concurrent runs at the target.
+    ConcurrencyChanged(usize),
+    /// An entry sent a message.
     Message {
-        /// Connection that it came on.
+        /// Connection that received it.
         connection: ConnectionId,
         /// The message.
         message: ToAgent,
     },
-    /// A connection ended, from either side.
+    /// Either side closed a connection.
     Disconnected {
-        /// The connection.
+        /// The closed connection.
         connection: ConnectionId,
     },
     /// A probe arrived by UDP.
     Probe {
-        /// Where to answer.
+        /// Address for the reply.
         from: SocketAddr,
-        /// Sequence to repeat.
+        /// Sequence number to return in the reply.
         sequence: u64,
     },
     /// Progress of a run.
@@ -155,125 +155,126 @@
         /// What happened.
         event: TargetEvent,
     },
-    /// Answer to `Action::ReadEngineState`; an error means that the engine does not answer.
+    /// Reply to `Action::ReadEngineState`; an error means that the engine does not answer.
     EngineState(Result<EngineState, String>),
-    /// Answer to `Action::ReadEngineLoad`.
+    /// Reply to `Action::ReadEngineLoad`.
     EngineLoad(EngineLoad),
-    /// Answer to `Action::ReadCacheEvents`, in order.
+    /// Reply to `Action::ReadCacheEvents`, in ascending order of sequence numbers.
     CacheEvents(Vec<CacheEvent>),
-    /// Answer to `Action::PassOrder`.
+    /// Reply to `Action::PassOrder`.
     OrderPassed(OrderOutcome),
-    /// Answer to `Action::ReserveSlot`: `None` grants it, otherwise the time to wait.
+    /// Reply to `Action::ReserveSlot`: `None` if the slot is granted, otherwise the time until the
+    /// next request.
     Slot(Result<Option<Duration>, StoreError>),
-    /// Answer to `Action::Table`.
+    /// Reply to `Action::Table`.
     TableDone {
-        /// The operation.
+        /// Operation of the request.
         operation: OperationId,
-        /// Its result.
+        /// Result of the call.
         result: Result<TableReply, StoreError>,
     },
     /// The process was asked to stop.
     Leaving,
-    /// Time has passed; sent at least every `TICK_MS`.
+    /// Time has passed; sent at least once every `TICK_MS`.
     Tick,
 }
 
-/// Output of the state machine, to be carried out in order.
+/// Output of the state machine; actions must be carried out in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a message to an entry.
+    /// Sends a message to an entry.
     Send {
-        /// Connection to use.
+        /// Connection to send on.
         connection: ConnectionId,
         /// The message.
         message: ToEntry,
     },
-    /// Close a connection.
+    /// Closes a connection.
     Close {
         /// The connection.
         connection: ConnectionId,
     },
-    /// Send a datagram.
+    /// Sends a datagram.
     Datagram {
         /// Destination.
         to: SocketAddr,
         /// The datagram.
         datagram: Datagram,
     },
-    /// Start a run at the target. The head is delivered as soon as it is there.
+    /// Starts a run at the target. The head of the answer must be delivered without a `Read`.
     Start {
         /// The run.
         run: RunId,
-        /// Attempt that it serves.
+        /// Attempt that the run belongs to.
         attempt: AttemptId,
-        /// 0 is served first.
+        /// 0 is the highest priority.
         priority: u8,
-        /// Work to do, with its whole body.
+        /// Request with its complete body.
         work: Box<Work>,
     },
-    /// Deliver the next bytes, or the end, of a run.
+    /// Requests the next bytes of the answer, or its end.
     Read {
         /// The run.
         run: RunId,
     },
-    /// Ask the engine for the rest of an answer whose run was begun. Nothing is started by it.
+    /// Requests the rest of an answer from the engine. Never starts a run.
     Resume {
-        /// The run, under a new number.
+        /// New run id.
         run: RunId,
-        /// Attempt that it serves.
+        /// Attempt that the run belongs to.
         attempt: AttemptId,
-        /// Bytes held here.
+        /// Bytes received so far; the answer must continue from here.
         offset: u64,
     },
-    /// Stop reading a run and let the engine go on.
+    /// Stops reading the answer, without telling the engine to stop the run.
     Release {
         /// The run.
         run: RunId,
     },
-    /// Give up a run and tell the engine so.
+    /// Ends a run and tells the engine to stop it.
     Abort {
         /// The run.
         run: RunId,
-        /// Attempt that it served.
+        /// Attempt that the run belongs to.
         attempt: AttemptId,
     },
-    /// Read the engine's state.
+    /// Requests the engine's state.
     ReadEngineState,
-    /// Read the engine's load.
+    /// Requests the engine's load.
     ReadEngineLoad,
-    /// Read the engine's cache events after a sequence number.
+    /// Requests the engine's cache events after a sequence number.
     ReadCacheEvents {
-        /// Last sequence number seen.
+        /// Sequence number of the last event received; 0 for all events.
         after: u64,
     },
-    /// Pass an order to the engine.
+    /// Sends an order to the engine.
     PassOrder(Order),
-    /// Ask the weight store for a slot.
+    /// Requests a slot for a transfer from the weight store.
     ReserveSlot {
         /// Model or adapter to load.
         model: String,
-        /// Its version.
+        /// Version of the model.
         version: String,
     },
-    /// Call the table.
+    /// Calls the table.
     Table {
-        /// Comes back with the result.
+        /// Id to return with the result.
         operation: OperationId,
-        /// The call.
+        /// The request.
         request: TableRequest,
     },
-    /// Write a log event.
-    Log(Note),
-    /// End the process.
+    /// Writes a log event.
+    Log(LogEvent),
+    /// Ends the process.
     Exit(ExitReason),
 }
 
-/// Why the process ends.
+/// Reason for which the process ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
-    /// Asked to stop; all work is finished and the row is released.
+    /// A stop was requested; all work is finished and the row is released.
     Stopped,
-    /// Another run of the agent holds the target; all work is finished.
+    /// Another agent process has registered for the target; all work is finished.
     Superseded,
     /// The target was withdrawn; its name cannot be used again.
     Withdrawn,
--- a/components/agent/src/cover.rs
+++ b/components/agent/src/hint_sources.rs
@@ -1,8 +1,9 @@
-//! Whether entries announce orders to this agent, so that it need not look for them itself.
+//! Tracks which entries send hints about new orders, so that the agent can poll the table less
+//! often.
 //!
-//! An entry whose probe states a head revision has lately read the table and applied every
-//! change. It sends a hint for each order over its connection, and again on a new one while the
-//! order is outstanding.
+//! An entry whose probe states a head revision has recently read the table and applied every
+//! change. It sends a hint for each order over its connection, and repeats it on a new connection
+//! while the order is outstanding.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,15 +14,16 @@
 
 use crate::event::ConnectionId;
 
-/// Entries that have to announce orders. With one, its failure would be noticed late only.
-const COVERING_ENTRIES: usize = 2;
-/// Time that a probe counts. Together with the 2 s that an entry takes itself for current it is
-/// below the 5 s after which a leaving target may get no new work.
-const PROBE_COUNTS_MS: Duration = Duration::from_secs(2);
+/// Entries that must send hints. With only one, its failure would go unnoticed until the probe
+/// expires.
+const MIN_HINT_SOURCES: usize = 2;
+/// How long a probe is valid. Together with the 2 s for which an entry considers itself current,
+/// this stays below the 5 s after which a leaving target may get no new work.
+const PROBE_VALIDITY_MS: Duration = Duration::from_secs(2);
 
-/// Entries with a connection, and their latest probes.
+/// Connected entries and their latest probes.
 #[derive(Debug, Default)]
-pub struct Cover {
+pub struct HintSources {
     connections: BTreeMap<ConnectionId, Incarnation>,
     probes: BTreeMap<Incarnation, Probe>,
 }
@@ -33,13 +35,13 @@
     is_current: bool,
 }
 
-impl Cover {
-    /// An entry said `Hello` on a connection.
+impl HintSources {
+    /// Registers an entry that has sent `Hello`.
     pub fn connected(&mut self, connection: ConnectionId, entry: Incarnation) {
         self.connections.insert(connection, entry);
     }
 
-    /// A connection ended.
+    /// Removes a connection, and the probe of its entry if that has no other connection.
     pub fn disconnected(&mut self, connection: ConnectionId) {
         if let Some(entry) = self.connections.remove(&connection)
             && !self.is_connected(entry)
@@ -48,8 +50,14 @@
         }
     }
 
-    /// An entry probed. A datagram that was repeated or overtaken by a later one is ignored.
-    pub fn probed(&mut self, now: Instant, entry: Incarnation, sequence: u64, head: Revision) {
+    /// Records a probe. Duplicate and reordered datagrams are ignored.
+    pub fn record_probe(
+        &mut self,
+        now: Instant,
+        entry: Incarnation,
+        sequence: u64,
+        head: Revision,
+    ) {
         let latest = self.probes.get(&entry);
         if !self.is_connected(entry) || latest.is_some_and(|probe| probe.sequence >= sequence) {
             return;
@@ -62,13 +70,13 @@
         self.probes.insert(entry, probe);
     }
 
-    /// Whether orders are announced.
+    /// Whether enough connected entries send hints.
     #[must_use]
-    pub fn is_covered(&self, now: Instant) -> bool {
-        let counts = |probe: &&Probe| {
-            probe.is_current && now.saturating_duration_since(probe.at) < PROBE_COUNTS_MS
+    pub fn has_enough(&self, now: Instant) -> bool {
+        let is_valid = |probe: &&Probe| {
+            probe.is_current && now.saturating_duration_since(probe.at) < PROBE_VALIDITY_MS
         };
-        self.probes.values().filter(counts).count() >= COVERING_ENTRIES
+        self.probes.values().filter(is_valid).count() >= MIN_HINT_SOURCES
     }
 
     fn is_connected(&self, entry: Incarnation) -> bool {
--- a/components/agent/src/lib.rs
+++ b/components/agent/src/lib.rs
@@ -1,33 +1,32 @@
-//! The process beside a target. It takes attempts from entries, runs them at the target, relays
-//! the answers, and passes orders on to the engine.
+//! The agent: a proxy that runs on the host of each target. It accepts attempts from entries, runs
+//! them at the target, relays the answers, and sends orders to the engine.
 //!
-//! All decisions are made by [`Agent`], a state machine without I/O. The daemon in [`daemon`]
-//! moves bytes between sockets and the state machine, on one thread.
+//! [`Agent`] is a state machine without I/O that makes all decisions. The daemon in [`daemon`]
+//! performs the I/O on one thread.
 
 mod admission;
 mod answer;
 mod attempt;
 mod attempts;
 mod change;
-mod cover;
 pub mod daemon;
 mod describe;
-mod engine_view;
+mod engine_monitor;
 mod event;
+mod hint_sources;
 mod limits;
 mod load;
-mod machine;
+mod log_event;
 mod memory;
 mod orders;
 mod registration;
-mod report;
 mod resume;
-mod row;
 mod runs;
+mod state_machine;
+mod target_row;
 mod usage;
 
-pub use answer::Answer;
-pub use daemon::Parts;
+pub use daemon::DaemonConfig;
 pub use daemon::run;
 pub use daemon::serve;
 pub use event::Action;
@@ -42,10 +41,9 @@
 pub use event::TargetEvent;
 pub use limits::Limits;
 pub use limits::TICK_MS;
-pub use load::LoadBook;
-pub use machine::Agent;
-pub use memory::Fate;
-pub use memory::Memory;
-pub use memory::Recall;
-pub use report::Note;
-pub use usage::Tail;
+pub use load::LoadReporter;
+pub use log_event::LogEvent;
+pub use memory::AttemptHistory;
+pub use memory::Lookup;
+pub use memory::Record;
+pub use state_machine::Agent;
--- a/components/agent/src/limits.rs
+++ b/components/agent/src/limits.rs
@@ -9,89 +9,91 @@
 use types::ServiceName;
 use types::TargetName;
 
-/// Longest time between two `Tick` events.
+/// Maximum time between two `Tick` events.
 pub const TICK_MS: Duration = Duration::from_millis(50);
-/// Largest chunk in one frame; small enough that streams sharing a connection take turns.
+/// Maximum size of a chunk; small enough for fair sharing of a connection between streams.
 pub const CHUNK_LIMIT_BYTES: u64 = 32 << 10;
-/// A connection with an attempt but without a frame for this long is closed; entries ping it
-/// every 500 ms.
+/// A connection with an unfinished attempt is closed after this time without a frame; entries ping
+/// it every 500 ms.
 pub const SILENCE_LIMIT_MS: Duration = Duration::from_secs(2);
-/// The same for a connection without an attempt; entries ping it every minute.
+/// As `SILENCE_LIMIT_MS`, for a connection without one; entries ping it every minute.
 pub const IDLE_LIMIT_MS: Duration = Duration::from_mins(3);
-/// Time between two reads of the engine's load and cache events.
+/// Poll interval of the engine's load and cache events.
 pub const LOAD_POLL_MS: Duration = Duration::from_millis(500);
-/// Time between two reads of the engine's state.
+/// Poll interval of the engine's state.
 pub const STATE_POLL_MS: Duration = Duration::from_secs(1);
-/// Time between two reads of the engine's state while a change is under way.
+/// Poll interval of the engine's state while a change is in progress.
 pub const CHANGE_POLL_MS: Duration = Duration::from_millis(100);
-/// Pause before a failed step of an order or a registration is tried again.
+/// Pause before a failed table call or step of an order is retried.
 pub const RETRY_MS: Duration = Duration::from_millis(500);
-/// Time for an entry to resume an idempotent attempt before it is given up.
+/// Time after which an idempotent run without a reader is aborted.
 pub const ORPHAN_LIMIT_MS: Duration = Duration::from_secs(10);
-/// Time past its deadline after which a run is given up, so that a target that never answers
-/// cannot block an order for ever.
+/// Time past its deadline after which a run is aborted, so that a target that never answers cannot
+/// block orders indefinitely.
 pub const OVERRUN_LIMIT_MS: Duration = Duration::from_mins(1);
-/// Time after the last answer in which a stopping agent waits for acknowledgements.
-pub const LINGER_MS: Duration = Duration::from_secs(2);
-/// Time for a stopping agent to give its row back while the table is down.
+/// Time that a stopping agent waits for acknowledgements after all answers are sent.
+pub const ACKNOWLEDGE_LIMIT_MS: Duration = Duration::from_secs(2);
+/// Time that a stopping agent tries to release its row while the table is unavailable.
 pub const RELEASE_LIMIT_MS: Duration = Duration::from_secs(10);
 
 /// Identity and limits of one agent.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Target served.
+    /// Target that the agent serves.
     pub target: TargetName,
     /// Service that the target belongs to.
     pub service: ServiceName,
-    /// Engine or plain service.
+    /// Whether the target is a model engine or a plain service.
     pub kind: ServiceKind,
-    /// Host of the target.
+    /// Host of the agent and its target.
     pub host: HostName,
     /// Data centre of the host.
     pub place: Place,
-    /// Address that entries connect to.
+    /// Address at which entries reach the agent.
     pub address: std::net::SocketAddr,
-    /// This run.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Wall-clock time at the first event, since the Unix epoch; for audit records only.
+    /// Wall-clock time at the first event, since the Unix epoch; used for audit records only.
     pub started_wall_ms: Duration,
-    /// The engine refuses an order with an old fencing number.
+    /// Whether the engine refuses orders with an outdated fencing number.
     pub honours_fencing: bool,
-    /// Runs at the target at once.
+    /// Maximum number of concurrent runs at the target.
     pub concurrency: usize,
-    /// Attempts accepted but not started.
+    /// Maximum number of waiting attempts, in addition to the free slots at the target.
     pub queue: usize,
-    /// Largest request body.
+    /// Maximum length of a request body.
     pub body_limit_bytes: u64,
-    /// Bodies of all attempts that have not started.
+    /// Maximum total length of the request bodies of waiting attempts.
     pub bodies_limit_bytes: u64,
-    /// Unacknowledged bytes of one answer before the agent stops reading it from the target.
+    /// Bytes of one answer that may be unacknowledged before the agent stops reading from the
+    /// target.
     pub buffer_limit_bytes: usize,
-    /// Longest answer of a non-idempotent attempt that is kept whole.
+    /// Maximum length of a non-idempotent attempt's answer that is kept from its first byte.
     pub kept_answer_limit_bytes: usize,
-    /// Bytes of all finished answers kept for resumption.
+    /// Maximum total length of the finished answers kept for resumption.
     pub kept_total_limit_bytes: usize,
-    /// Finished answers kept for resumption.
+    /// Maximum number of finished non-idempotent answers kept for resumption.
     pub kept_count_limit: usize,
-    /// Time that the finished answer of an idempotent attempt is kept.
+    /// How long the finished answer of an idempotent attempt is kept.
     pub kept_idempotent_ms: Duration,
-    /// Time that the finished answer of a non-idempotent attempt is kept.
+    /// How long the finished answer of a non-idempotent attempt is kept.
     pub kept_ms: Duration,
-    /// Non-idempotent attempts remembered one by one.
-    pub memory_limit: usize,
-    /// Time between two reads of the order row while no entries announce orders.
+    /// Maximum number of non-idempotent attempts in the history.
+    pub history_limit: usize,
+    /// Poll interval of the order row while fewer than two entries send hints about orders.
     pub order_poll_ms: Duration,
-    /// The same while they do.
+    /// Poll interval of the order row while at least two entries send hints.
     pub order_backup_poll_ms: Duration,
-    /// Time after which an order of an earlier run can no longer reach the engine.
+    /// Time after which an order of a previous process, or one without a reply, can no longer reach
+    /// the engine.
     pub order_settle_ms: Duration,
-    /// Time between the report that the target is leaving and the end of the process, so that
-    /// entries stop sending before connections are refused.
+    /// Time between the report that the target is leaving and the end of the process. Entries stop
+    /// sending before connections are refused.
     pub notice_ms: Duration,
 }
 
 impl Limits {
-    /// Defaults for everything but the identity.
+    /// Default limits, with empty service, host and data centre.
     #[must_use]
     pub fn new(
         target: impl Into<TargetName>,
@@ -118,7 +120,7 @@
             kept_count_limit: 16_384,
             kept_idempotent_ms: Duration::from_secs(10),
             kept_ms: Duration::from_mins(10),
-            memory_limit: 65_536,
+            history_limit: 65_536,
             order_poll_ms: Duration::from_secs(2),
             order_backup_poll_ms: Duration::from_secs(15),
             order_settle_ms: Duration::from_secs(10),
--- a/components/agent/src/load.rs
+++ b/components/agent/src/load.rs
@@ -1,4 +1,4 @@
-//! What the agent reports of its target: its own counts, and the engine's figures with their age.
+//! Load reports: the agent's own counts, and the engine's last reported load with its age.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,41 +11,41 @@
 
 use crate::event::EngineLoad;
 
-/// Source of load reports.
-pub struct LoadBook {
+/// Builds load reports.
+pub struct LoadReporter {
     incarnation: Incarnation,
     sequence: u64,
     engine: EngineLoad,
-    engine_read: Option<Instant>,
-    /// Dispatches received in this run.
+    engine_read_at: Option<Instant>,
+    /// Dispatches received since the start of the process.
     pub received: u64,
-    /// Runs at the target.
+    /// Current runs at the target.
     pub running: u32,
     /// Attempts accepted but not started.
     pub queued: u32,
     /// Prompt tokens of the attempts accepted but not started.
     pub queued_tokens: u64,
-    /// Role in force.
+    /// Current role of the engine.
     pub role: Role,
-    /// Model, adapters and version in force.
+    /// Model, version and adapters loaded.
     pub loaded: Loaded,
-    /// Last order executed.
+    /// Number of the last executed order.
     pub applied: OrderNumber,
-    /// No new work: drained, replaced, withdrawn, stopping or superseded.
+    /// Rejects new work for good: drained, replaced, withdrawn, stopping or superseded.
     pub leaving: bool,
-    /// No new work: changing, crashed or not yet registered.
+    /// Rejects new work for now: in a change, unreachable or not yet registered.
     pub away: bool,
 }
 
-impl LoadBook {
-    /// Starts away, until the target row is held and the engine's state is known.
+impl LoadReporter {
+    /// Starts with `away` set, until the target is registered and the engine's state is known.
     #[must_use]
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
             sequence: 0,
             engine: EngineLoad::default(),
-            engine_read: None,
+            engine_read_at: None,
             received: 0,
             running: 0,
             queued: 0,
@@ -58,17 +58,17 @@
         }
     }
 
-    /// Takes the engine's own figures.
-    pub fn engine_reported(&mut self, now: Instant, load: EngineLoad) {
+    /// Stores the load reported by the engine.
+    pub fn set_engine_load(&mut self, now: Instant, load: EngineLoad) {
         self.engine = load;
-        self.engine_read = Some(now);
+        self.engine_read_at = Some(now);
     }
 
-    /// Report as of now; every call takes the next sequence number.
+    /// Builds a report; each one takes the next sequence number.
     pub fn report(&mut self, now: Instant) -> LoadReport {
         self.sequence += 1;
         let since_read_ms = self
-            .engine_read
+            .engine_read_at
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         LoadReport {
             incarnation: self.incarnation,
@@ -90,9 +90,9 @@
         }
     }
 
-    /// Whether the target has what an attempt needs; empty fields ask for nothing.
+    /// Whether everything that an attempt needs is loaded; empty fields match any value.
     #[must_use]
-    pub fn has(&self, needs: &Loaded) -> bool {
+    pub fn has_loaded(&self, needs: &Loaded) -> bool {
         (needs.model.is_empty() || needs.model == self.loaded.model)
             && (needs.version.is_empty() || needs.version == self.loaded.version)
             && needs
--- a/components/agent/src/memory.rs
+++ b/components/agent/src/memory.rs
@@ -1,8 +1,9 @@
-//! What became of non-idempotent attempts, remembered for the whole run in bounded space.
+//! Bounded history of attempts, so that none is started twice or after it was reported as not run.
 //!
-//! Attempts are remembered one by one. When the memory is full, the oldest one is dropped and
-//! a floor is raised for its entry: request counters of one entry only grow, so every unknown
-//! attempt at or below the floor may be a forgotten one. It is neither run nor called not run.
+//! Attempts are recorded one by one. When the history is full, the oldest record is evicted and the
+//! watermark of its entry is raised. Request counters of one entry only grow, so an unrecorded
+//! attempt at or below the watermark may have been evicted. Such an attempt is neither run nor
+//! reported as not run.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,120 +12,121 @@
 use types::AttemptId;
 use types::Incarnation;
 
-/// Entries with a floor of their own. Beyond it, unknown entries are treated as below a floor.
-const FLOOR_LIMIT: usize = 65_536;
+/// Maximum number of entries with a watermark. When it is reached, all attempts of an entry without
+/// a watermark count as evicted.
+const WATERMARK_LIMIT: usize = 65_536;
 
-/// What is known of one attempt.
+/// Recorded state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// Never started in this run, and never will be.
+pub enum Record {
+    /// Was not started in this process and never will be.
     Forbidden,
-    /// Handed to the target, or about to be.
+    /// Was sent to the target, or will be at once.
     Started,
 }
 
-/// Answer of the memory.
+/// Result of a lookup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Recall {
-    /// Known one by one.
-    Known(Fate),
-    /// A later attempt of the same request is known, and this one is not.
+pub enum Lookup {
+    /// The attempt has a record.
+    Found(Record),
+    /// The attempt has no record, but a later attempt of the same request has one.
     Superseded,
-    /// Neither known nor forgotten.
+    /// The attempt was never recorded.
     New,
-    /// It may have been known once.
-    Forgotten,
+    /// The attempt may have been recorded and evicted.
+    Evicted,
 }
 
-/// Bounded memory of attempts.
-pub struct Memory {
+/// Records of attempts, with a limit on their number.
+pub struct AttemptHistory {
     limit: usize,
-    fates: BTreeMap<AttemptId, Fate>,
-    order: VecDeque<AttemptId>,
-    floors: HashMap<Incarnation, u64>,
-    floors_full: bool,
+    records: BTreeMap<AttemptId, Record>,
+    insertion_order: VecDeque<AttemptId>,
+    watermarks: HashMap<Incarnation, u64>,
+    is_watermark_limit_reached: bool,
 }
 
-impl Memory {
-    /// Remembers `limit` attempts one by one, at least one.
+impl AttemptHistory {
+    /// Keeps at most `limit` records, and at least one.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
             limit: limit.max(1),
-            fates: BTreeMap::new(),
-            order: VecDeque::new(),
-            floors: HashMap::new(),
-            floors_full: false,
+            records: BTreeMap::new(),
+            insertion_order: VecDeque::new(),
+            watermarks: HashMap::new(),
+            is_watermark_limit_reached: false,
         }
     }
 
-    /// What is known of an attempt.
+    /// Looks up an attempt.
     #[must_use]
-    pub fn recall(&self, attempt: AttemptId) -> Recall {
-        if let Some(fate) = self.fates.get(&attempt) {
-            return Recall::Known(*fate);
+    pub fn lookup(&self, attempt: AttemptId) -> Lookup {
+        if let Some(record) = self.records.get(&attempt) {
+            return Lookup::Found(*record);
         }
-        let (entry, counter) = split(attempt);
-        let forgotten = match self.floors.get(&entry) {
-            Some(floor) => counter <= *floor,
-            None => self.floors_full,
+        let (entry, counter) = split_id(attempt);
+        let is_evicted = match self.watermarks.get(&entry) {
+            Some(watermark) => counter <= *watermark,
+            None => self.is_watermark_limit_reached,
         };
-        if forgotten {
-            return Recall::Forgotten;
+        if is_evicted {
+            return Lookup::Evicted;
         }
         let last = AttemptId {
             request: attempt.request,
             number: u32::MAX,
         };
-        if self.fates.range(attempt..=last).next().is_some() {
-            return Recall::Superseded;
+        if self.records.range(attempt..=last).next().is_some() {
+            return Lookup::Superseded;
         }
-        Recall::New
+        Lookup::New
     }
 
-    /// Remembers the fate of an attempt.
-    pub fn set(&mut self, attempt: AttemptId, fate: Fate) {
-        if self.fates.insert(attempt, fate).is_some() {
+    /// Records an attempt, evicting the oldest record if the history is full.
+    pub fn record(&mut self, attempt: AttemptId, record: Record) {
+        if self.records.insert(attempt, record).is_some() {
             return;
         }
-        self.order.push_back(attempt);
-        while self.order.len() > self.limit {
-            if let Some(oldest) = self.order.pop_front() {
-                self.fates.remove(&oldest);
-                self.raise_floor(oldest);
+        self.insertion_order.push_back(attempt);
+        while self.insertion_order.len() > self.limit {
+            if let Some(oldest) = self.insertion_order.pop_front() {
+                self.records.remove(&oldest);
+                self.raise_watermark(oldest);
             }
         }
     }
 
-    /// Attempts remembered one by one.
+    /// Number of records.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.fates.len()
+        self.records.len()
     }
 
-    /// Whether nothing is remembered one by one.
+    /// Whether there are no records; evicted attempts do not count.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.fates.is_empty()
+        self.records.is_empty()
     }
 
-    fn raise_floor(&mut self, attempt: AttemptId) {
-        let (entry, counter) = split(attempt);
-        if let Some(floor) = self.floors.get_mut(&entry) {
-            *floor = counter.max(*floor);
-        } else if self.floors.len() < FLOOR_LIMIT {
-            self.floors.insert(entry, counter);
+    fn raise_watermark(&mut self, attempt: AttemptId) {
+        let (entry, counter) = split_id(attempt);
+        if let Some(watermark) = self.watermarks.get_mut(&entry) {
+            *watermark = counter.max(*watermark);
+        } else if self.watermarks.len() < WATERMARK_LIMIT {
+            self.watermarks.insert(entry, counter);
         } else {
-            self.floors_full = true;
+            self.is_watermark_limit_reached = true;
         }
     }
 }
 
-/// Entry and counter of the request, as `types::ids::request_id` joins them.
+/// Entry and request counter, the two halves that `types::ids::request_id` combines.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "the two halves of the id are meant"
 )]
-fn split(attempt: AttemptId) -> (Incarnation, u64) {
+fn split_id(attempt: AttemptId) -> (Incarnation, u64) {
     ((attempt.request >> 64) as u64, attempt.request as u64)
 }
--- a/components/agent/src/orders.rs
+++ b/components/agent/src/orders.rs
@@ -1,4 +1,4 @@
-//! Registration and orders of one target.
+//! Registration of the target, and execution of its orders.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,76 +12,76 @@
 
 use crate::change::Change;
 use crate::change::Stage;
-use crate::engine_view::EngineView;
+use crate::engine_monitor::EngineMonitor;
 use crate::event::Action;
 use crate::event::EngineState;
 use crate::event::OrderOutcome;
 use crate::limits::Limits;
 use crate::limits::RETRY_MS;
-use crate::registration::recorded;
-use crate::report::Note;
-use crate::row::RowEvent;
-use crate::row::TargetRow;
+use crate::log_event::LogEvent;
+use crate::registration::recorded_state;
+use crate::target_row::RowEvent;
+use crate::target_row::TargetRow;
 
-/// Orders, and the row that records them.
+/// Orders of the target, and the row that records them.
 pub struct Orders {
     pub(crate) limits: Rc<Limits>,
-    /// Hold on the target row.
+    /// Access to the target row and order row.
     pub row: TargetRow,
-    /// View of the engine.
-    pub engine: EngineView,
+    /// State of the engine.
+    pub engine: EngineMonitor,
     pub(crate) change: Option<Change>,
-    /// Order row as last read.
+    /// Newest order read from the table.
     pub(crate) latest: Option<Order>,
-    /// Highest order that was started, in this run or according to the row.
-    pub(crate) started: OrderNumber,
-    /// An earlier run may have left orders on their way.
-    pub(crate) follows_a_run: bool,
-    /// An order sent before this time may still reach the engine.
-    pub(crate) quiet_until: Option<Instant>,
-    /// When the last answer to an order came; a state read before says nothing of the order.
-    passed_at: Option<Instant>,
-    /// The answer to an order of this run was lost.
-    pub(crate) in_doubt: bool,
-    /// The order row was read.
-    pub(crate) has_polled: bool,
-    pub(crate) hold: Hold,
+    /// Highest order number started by this process or recorded in the row.
+    pub(crate) last_started: OrderNumber,
+    /// A previous process may have sent orders that are still in flight.
+    pub(crate) has_predecessor: bool,
+    /// Orders sent earlier may reach the engine until this time.
+    pub(crate) settles_at: Option<Instant>,
+    /// When the last reply to an order arrived; earlier engine states do not reflect the order.
+    answered_at: Option<Instant>,
+    /// The reply to an order of this process was lost.
+    pub(crate) has_unanswered_order: bool,
+    /// The order row has been read at least once.
+    pub(crate) has_read_order: bool,
+    pub(crate) registration_state: RegistrationState,
 }
 
-/// Whether this run holds the target.
+/// Registration of this process for the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hold {
-    /// It does, or will.
-    Kept,
-    /// The process stops; no new order is started.
-    Ending,
-    /// The row is to be given back.
+pub enum RegistrationState {
+    /// Registered, or about to be.
+    Active,
+    /// The process is stopping; no new order is started.
+    Stopping,
+    /// The row is to be released.
     Releasing,
-    /// The row is given back.
+    /// The row is released.
     Released,
-    /// Another run holds the target.
+    /// Another process has registered for the target.
     Superseded,
-    /// The target was withdrawn and cannot be held.
+    /// The target was withdrawn and cannot be registered.
     Refused,
 }
 
 impl Orders {
-    /// Nothing is known yet.
+    /// Starts unregistered and without orders.
     #[must_use]
     pub fn new(limits: Rc<Limits>) -> Self {
         Self {
             row: TargetRow::new(limits.clone()),
             limits,
-            engine: EngineView::default(),
+            engine: EngineMonitor::default(),
             change: None,
             latest: None,
-            started: 0,
-            follows_a_run: false,
-            quiet_until: None,
-            passed_at: None,
-            in_doubt: false,
-            has_polled: false,
-            hold: Hold::Kept,
+            last_started: 0,
+            has_predecessor: false,
+            settles_at: None,
+            answered_at: None,
+            has_unanswered_order: false,
+            has_read_order: false,
+            registration_state: RegistrationState::Active,
         }
     }
 
@@ -89,273 +89,275 @@
         self.limits.kind == ServiceKind::Model
     }
 
-    /// Whether this run holds the target.
     #[must_use]
-    pub fn hold(&self) -> Hold {
-        self.hold
+    pub fn registration_state(&self) -> RegistrationState {
+        self.registration_state
     }
 
-    pub(crate) fn has_ended(&self) -> bool {
-        self.hold != Hold::Kept
+    pub(crate) fn is_inactive(&self) -> bool {
+        self.registration_state != RegistrationState::Active
     }
 
-    /// No new order is started; one that is being passed to the engine gets its answer.
-    pub fn end(&mut self, hold: Hold) {
-        self.hold = hold;
-        self.change.take_if(|change| change.stage != Stage::Passing);
+    /// Starts no further orders; one that is being sent to the engine still gets its reply.
+    pub fn stop(&mut self, state: RegistrationState) {
+        self.registration_state = state;
+        self.change.take_if(|change| change.stage != Stage::Sending);
     }
 
-    /// Whether an order may still reach the engine.
+    /// Whether no order can reach the engine any more.
     #[must_use]
-    pub fn is_quiet(&self, now: Instant) -> bool {
-        self.change.is_none() && self.quiet_until.is_none_or(|until| now >= until)
+    pub fn is_settled(&self, now: Instant) -> bool {
+        self.change.is_none() && self.settles_at.is_none_or(|until| now >= until)
     }
 
-    /// Gives the row back.
+    /// Begins the release of the row.
     pub fn release(&mut self) {
-        if self.hold == Hold::Ending {
-            self.hold = Hold::Releasing;
+        if self.registration_state == RegistrationState::Stopping {
+            self.registration_state = RegistrationState::Releasing;
         }
     }
 
-    /// Takes the engine's state, or its silence.
+    /// Handles the engine's state; an error means that the engine does not answer.
     pub fn engine_state(&mut self, state: Result<EngineState, String>, out: &mut Vec<Action>) {
         let detail = state.as_ref().err().cloned().unwrap_or_default();
         let away = state.is_err();
-        if self.engine.answered(state.ok()) {
-            out.push(Action::Log(Note::EngineAway { away, detail }));
+        if self.engine.record_state(state.ok()) {
+            out.push(Action::Log(LogEvent::EngineAway { away, detail }));
         }
     }
 
-    /// Takes the answer to a request for a slot.
+    /// Handles the reply to a slot reservation.
     pub fn slot(&mut self, now: Instant, result: &Result<Option<Duration>, StoreError>) {
         let Some(change) = &mut self.change else {
             return;
         };
-        if change.stage != Stage::SlotAsked {
+        if change.stage != Stage::AwaitSlot {
             return;
         }
         match result {
-            Ok(None) => change.enter(now, Stage::Finish),
+            Ok(None) => change.enter(now, Stage::FinishWork),
             Ok(Some(wait)) => {
                 change.not_before = now + *wait;
-                change.enter(now, Stage::Slot);
+                change.enter(now, Stage::ReserveSlot);
             }
             Err(_) => {
                 change.not_before = now + RETRY_MS;
-                change.enter(now, Stage::Slot);
+                change.enter(now, Stage::ReserveSlot);
             }
         }
     }
 
-    /// Takes the outcome of passing an order on.
-    pub fn passed(&mut self, now: Instant, outcome: OrderOutcome, out: &mut Vec<Action>) {
+    /// Handles the outcome of sending an order.
+    pub fn order_answered(&mut self, now: Instant, outcome: OrderOutcome, out: &mut Vec<Action>) {
         let Some(change) = &mut self.change else {
             return;
         };
-        if change.stage != Stage::Passing {
+        if change.stage != Stage::Sending {
             return;
         }
         let number = change.order.number;
-        self.passed_at = Some(now);
-        self.engine.hurry();
+        self.answered_at = Some(now);
+        self.engine.poll_soon();
         let detail = match outcome {
             OrderOutcome::Taken => {
-                change.enter(now, Stage::Verify(now));
+                change.enter(now, Stage::VerifyState(now));
                 None
             }
             OrderOutcome::Unanswered(detail) => {
-                self.quiet_until = Some(now + self.limits.order_settle_ms);
-                self.in_doubt = true;
-                change.enter(now, Stage::Verify(now));
+                self.settles_at = Some(now + self.limits.order_settle_ms);
+                self.has_unanswered_order = true;
+                change.enter(now, Stage::VerifyState(now));
                 Some(detail)
             }
             OrderOutcome::Refused(detail) | OrderOutcome::NotSent(detail) => {
                 change.not_before = now + RETRY_MS;
-                change.enter(now, Stage::Confirm);
+                change.enter(now, Stage::ConfirmOrder);
                 Some(detail)
             }
             OrderOutcome::Fenced(detail) => {
-                // The order's writer has lost its authority. A newer order has to come.
+                // The process that wrote the order has lost its lease; only a newer order can
+                // succeed.
                 self.change = None;
                 Some(detail)
             }
         };
         if let Some(detail) = detail {
-            out.push(Action::Log(Note::OrderFailed { number, detail }));
+            out.push(Action::Log(LogEvent::OrderFailed { number, detail }));
         }
-        if self.has_ended() {
+        if self.is_inactive() {
             self.change = None;
         }
     }
 
-    /// Takes the result of a table call.
+    /// Handles the result of a table call.
     pub fn row_event(&mut self, now: Instant, event: RowEvent, out: &mut Vec<Action>) {
         match event {
             RowEvent::None => {}
-            RowEvent::Polled(began, order) => self.polled(now, began, order, out),
-            RowEvent::Plan(current) => self.plan(now, current.as_deref(), out),
-            RowEvent::Written(target) => self.written(now, target.as_deref(), out),
+            RowEvent::Polled(began, order) => self.order_polled(now, began, order, out),
+            RowEvent::Plan(current) => self.plan_write(now, current.as_deref(), out),
+            RowEvent::Written(target) => self.row_written(now, target.as_deref(), out),
             RowEvent::Refused(detail) => {
-                self.end(Hold::Refused);
-                out.push(Action::Log(Note::RegistrationRefused { detail }));
+                self.stop(RegistrationState::Refused);
+                out.push(Action::Log(LogEvent::RegistrationRefused { detail }));
             }
             RowEvent::Superseded(by) => {
-                self.end(Hold::Superseded);
-                out.push(Action::Log(Note::Superseded { by }));
+                self.stop(RegistrationState::Superseded);
+                out.push(Action::Log(LogEvent::Superseded { by }));
             }
         }
     }
 
-    fn polled(
+    fn order_polled(
         &mut self,
         now: Instant,
         began: Instant,
         order: Option<Order>,
         out: &mut Vec<Action>,
     ) {
-        self.has_polled = true;
-        let seen = self.read_number();
+        self.has_read_order = true;
+        let seen = self.latest_number();
         let read = order.as_ref().map_or(0, |order| order.number);
         if read < seen {
             return;
         }
         self.latest = order;
         self.supersede(out);
-        if self.has_ended() || !self.may_pass(now) {
+        if self.is_inactive() || !self.can_send(now) {
             return;
         }
         let Some(change) = &mut self.change else {
             return;
         };
-        // The row as it stood after the target was empty, or the order must wait.
-        let is_confirmed = change.stage == Stage::Confirm
+        // The order must still be the newest in a read that began after the stage was entered
+        // and after the pause.
+        let is_confirmed = change.stage == Stage::ConfirmOrder
             && began >= change.since.max(change.not_before)
             && self.latest.as_ref() == Some(&change.order);
         if !is_confirmed {
             return;
         }
-        // An order of an earlier run may have repaired the engine in the meantime. Passing
-        // another one would leave it under way, unseen by the next run, if this one is killed.
-        let is_repaired = change.is_repair
-            && change.wanted.as_ref().is_some_and(|wanted| {
+        // An order of a previous process may have restored the state in the meantime. If this
+        // process sent another one and were killed, its successor would not know that it is in
+        // flight.
+        let is_reconciled = change.is_reconciliation
+            && change.desired.as_ref().is_some_and(|desired| {
                 let state = self.engine.state();
-                state.is_some_and(|state| wanted.repair(state).is_none())
+                state.is_some_and(|state| desired.next_step(state).is_none())
             });
-        if is_repaired {
+        if is_reconciled {
             self.change = None;
             return;
         }
-        change.enter(now, Stage::Passing);
-        let order = change.to_pass();
-        out.push(Action::Log(Note::OrderPassed {
+        change.enter(now, Stage::Sending);
+        let order = change.order_to_send();
+        out.push(Action::Log(LogEvent::OrderSent {
             number: order.number,
             kind: format!("{:?}", order.kind),
         }));
         out.push(Action::PassOrder(order));
     }
 
-    /// A newer order takes the place of one under way, unless that is being passed just now.
+    /// Replaces an order in progress by a newer one, unless it is being sent.
     fn supersede(&mut self, out: &mut Vec<Action>) {
         let Some(latest) = &self.latest else {
             return;
         };
         let is_replaceable = self.change.as_ref().is_some_and(|change| {
-            change.order.number < latest.number && change.stage != Stage::Passing
+            change.order.number < latest.number && change.stage != Stage::Sending
         });
         if is_replaceable
             && !self.row.is_writing()
             && let Some(change) = self.change.take()
         {
-            out.push(Action::Log(Note::OrderSuperseded {
+            out.push(Action::Log(LogEvent::OrderSuperseded {
                 number: change.order.number,
                 by: latest.number,
             }));
-            // The engine may still be busy with the older one.
-            if matches!(change.stage, Stage::Verify(_)) {
-                self.engine.hurry();
+            // The engine may still be executing the older order.
+            if matches!(change.stage, Stage::VerifyState(_)) {
+                self.engine.poll_soon();
             }
         }
     }
 
-    /// Does everything that is due.
-    pub fn advance(&mut self, now: Instant, in_service: usize, out: &mut Vec<Action>) {
+    /// Performs all steps that are due.
+    pub fn advance(&mut self, now: Instant, in_flight: usize, out: &mut Vec<Action>) {
         if self.is_model() {
-            let changing = self.change.as_ref().is_some_and(Change::stops_work);
+            let changing = self.change.as_ref().is_some_and(Change::rejects_work);
             self.engine.poll(now, changing, out);
         }
-        if !self.has_ended() {
-            self.take_next(now, out);
-            self.advance_change(now, in_service, out);
+        if !self.is_inactive() {
+            self.start_next_order(now, out);
+            self.advance_change(now, in_flight, out);
         }
         self.advance_row(now, out);
     }
 
-    /// Whether nothing sent earlier can still reach the engine or be in progress there.
-    pub(crate) fn may_pass(&self, now: Instant) -> bool {
-        self.quiet_until.is_none_or(|until| now >= until)
-            && match self.passed_at {
+    /// Whether no earlier order can still reach the engine or be in progress there.
+    pub(crate) fn can_send(&self, now: Instant) -> bool {
+        self.settles_at.is_none_or(|until| now >= until)
+            && match self.answered_at {
                 Some(since) => self.engine.settled_since(since).is_some(),
                 None => self.engine.state().is_some_and(|state| !state.away),
             }
     }
 
-    fn take_next(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let Some(held) = &self.row.held else {
+    fn start_next_order(&mut self, now: Instant, out: &mut Vec<Action>) {
+        let Some(registered) = &self.row.registered else {
             return;
         };
         if self.change.is_some() {
             return;
         }
-        let recorded = recorded(held);
+        let recorded_state = recorded_state(registered);
         let Some(latest) = &self.latest else {
             return;
         };
-        if latest.number > self.started {
+        if latest.number > self.last_started {
             if latest.kind.concerns_engine() && !self.is_model() {
                 return;
             }
-            self.started = latest.number;
-            out.push(Action::Log(Note::OrderStarted {
+            self.last_started = latest.number;
+            out.push(Action::Log(LogEvent::OrderStarted {
                 number: latest.number,
                 kind: format!("{:?}", latest.kind),
             }));
-            self.change = Some(Change::start(now, latest.clone(), &recorded));
+            self.change = Some(Change::start(now, latest.clone(), &recorded_state));
             return;
         }
-        // A state that no order asked for is repaired only under the order in force.
-        if latest.number != held.applied || !self.is_model() {
+        // A deviating state is restored only under the number of the order in force.
+        if latest.number != registered.applied || !self.is_model() {
             return;
         }
         let state = self.engine.state().filter(|state| !state.away);
-        if let Some(step) = state.and_then(|state| recorded.repair(state)) {
-            out.push(Action::Log(Note::StateDiffers {
+        if let Some(step) = state.and_then(|state| recorded_state.next_step(state)) {
+            out.push(Action::Log(LogEvent::StateDiffers {
                 number: latest.number,
             }));
-            self.change = Some(Change::repair(now, latest.clone(), recorded, step));
+            self.change = Some(Change::reconcile(now, latest.clone(), recorded_state, step));
         }
     }
 
-    fn advance_change(&mut self, now: Instant, in_service: usize, out: &mut Vec<Action>) {
+    fn advance_change(&mut self, now: Instant, in_flight: usize, out: &mut Vec<Action>) {
         let Some(change) = &mut self.change else {
             return;
         };
         match change.stage {
-            Stage::Slot if now >= change.not_before => {
-                if let Some((model, version)) = weights(change) {
-                    change.enter(now, Stage::SlotAsked);
+            Stage::ReserveSlot if now >= change.not_before => {
+                if let Some((model, version)) = weights_to_load(change) {
+                    change.enter(now, Stage::AwaitSlot);
                     out.push(Action::ReserveSlot { model, version });
                 }
             }
-            Stage::Finish if in_service == 0 => {
-                let next = if change.wanted.is_some() {
-                    Stage::Confirm
+            Stage::FinishWork if in_flight == 0 => {
+                let next = if change.desired.is_some() {
+                    Stage::ConfirmOrder
                 } else {
-                    Stage::Record
+                    Stage::RecordResult
                 };
                 change.enter(now, next);
             }
-            Stage::Verify(since) => self.verify(now, since, out),
+            Stage::VerifyState(since) => self.verify(now, since, out),
             _ => {}
         }
     }
@@ -364,32 +366,33 @@
         let Some(change) = &mut self.change else {
             return;
         };
-        let (Some(state), Some(wanted)) = (self.engine.settled_since(since), &change.wanted) else {
+        let (Some(state), Some(desired)) = (self.engine.settled_since(since), &change.desired)
+        else {
             return;
         };
-        match wanted.repair(state) {
+        match desired.next_step(state) {
             Some(step) => {
-                out.push(Action::Log(Note::StateDiffers {
+                out.push(Action::Log(LogEvent::StateDiffers {
                     number: change.order.number,
                 }));
-                change.repeat(now, step, now + RETRY_MS);
+                change.retry(now, step, now + RETRY_MS);
             }
-            // The engine was in this state before, and the order may still be on its way.
+            // The engine may have been in this state before, with the order still in flight.
             None if state.number != change.order.number
-                && self.quiet_until.is_some_and(|until| now < until) => {}
-            None if change.is_repair => self.change = None,
-            None => change.enter(now, Stage::Record),
+                && self.settles_at.is_some_and(|until| now < until) => {}
+            None if change.is_reconciliation => self.change = None,
+            None => change.enter(now, Stage::RecordResult),
         }
     }
 }
 
-/// What a step loads from the weight store.
-fn weights(change: &Change) -> Option<(String, String)> {
+/// Name and version of the weights that the current step loads, if any.
+fn weights_to_load(change: &Change) -> Option<(String, String)> {
     match &change.step {
         OrderKind::LoadModel { model, version } => Some((model.clone(), version.clone())),
         OrderKind::LoadAdapter { adapter } => {
-            let wanted = change.wanted.as_ref()?;
-            Some((adapter.clone(), wanted.loaded.version.clone()))
+            let desired = change.desired.as_ref()?;
+            Some((adapter.clone(), desired.loaded.version.clone()))
         }
         _ => None,
     }
--- a/components/agent/src/resume.rs
+++ b/components/agent/src/resume.rs
@@ -1,9 +1,9 @@
-//! Runs whose connection to the engine was lost or went silent.
+//! Resumption of runs whose connection to the engine was lost or stalled.
 //!
-//! The engine goes on with a run and gives the rest of its answer again, by the id of the request.
-//! Asking for it starts nothing, so this is open to every run that the engine may have begun, also
-//! to one that must not run twice. The run fails as unknown when the engine does not know it any
-//! more, when what it sends does not continue the bytes held here, or after `RESUME_LIMIT` tries
+//! The engine continues such a run and returns the rest of its answer by request id. Requesting it
+//! starts no run, so a run can be resumed whenever the engine may have begun it, even if the
+//! attempt is not idempotent. The run fails as `unknown` if the engine does not know it, if the
+//! resumed answer does not match the bytes received so far, or after `RESUME_LIMIT` requests
 //! without a new byte.
 
 use std::time::Duration;
@@ -14,63 +14,63 @@
 use wire::Digest;
 
 use crate::attempt::Head;
-use crate::attempt::Reading;
+use crate::attempt::ReadState;
 use crate::attempts::Attempts;
 use crate::event::Action;
-use crate::report::Note;
+use crate::log_event::LogEvent;
 
-/// Tries without a new byte after which a run is given up. Together with the time limits of the
-/// client, an engine that does not answer is given up about 12 s after its last byte, and one that
-/// answers without a new byte after 20 s.
+/// Resume requests without a new byte after which a run fails. Together with the client's timeouts,
+/// the run fails about 12 s after the last byte if the engine does not answer, and after 20 s if it
+/// answers without a new byte.
 const RESUME_LIMIT: u32 = 3;
-/// Pause before the second try, doubled for each further one. The first try follows at once.
+/// Pause before the second request, doubled for each further one. The first is sent at once.
 const RESUME_PAUSE_MS: Duration = Duration::from_millis(100);
-const DETAIL_DIFFERS: &str = "the engine resumed with another answer";
+const DETAIL_DIFFERS: &str = "the resumed answer does not match the part received before";
 
 impl Attempts {
-    /// Plans to ask the engine for the rest of a lost run; returns whether there is a try left.
+    /// Schedules a resume request for a run; returns whether the limits allow one.
     pub(crate) fn plan_resume(&mut self, now: Instant, id: AttemptId, detail: &str) -> bool {
         if self.limits.kind != ServiceKind::Model {
             return false;
         }
-        let Some(attempt) = self.live.get_mut(&id) else {
+        let Some(attempt) = self.by_id.get_mut(&id) else {
             return false;
         };
-        if attempt.resumes >= RESUME_LIMIT || now >= attempt.deadline {
+        if attempt.resume_count >= RESUME_LIMIT || now >= attempt.deadline {
             return false;
         }
-        let pause = match attempt.resumes {
+        let pause = match attempt.resume_count {
             0 => Duration::ZERO,
-            tries => RESUME_PAUSE_MS * (1 << (tries - 1)),
+            count => RESUME_PAUSE_MS * (1 << (count - 1)),
         };
-        attempt.resumes += 1;
+        attempt.resume_count += 1;
         attempt.is_resumed = true;
-        attempt.reading = Reading::Unopened;
-        // Events of the lost connection may still be under way.
+        attempt.read_state = ReadState::AwaitingHead;
+        // A new run id makes late events of the lost connection be ignored.
         self.runs.remove(&attempt.run);
-        attempt.run = self.next_run;
-        self.next_run += 1;
+        attempt.run = self.next_run_id;
+        self.next_run_id += 1;
         self.runs.insert(attempt.run, id);
-        self.resumes
+        self.pending_resumes
             .insert((now + pause, attempt.run), detail.to_owned());
         true
     }
 
-    /// Carries out what is due.
+    /// Sends the resume requests that are due.
     pub(crate) fn start_resumes(&mut self, now: Instant, out: &mut Vec<Action>) {
-        while let Some(entry) = self.resumes.first_entry()
+        while let Some(entry) = self.pending_resumes.first_entry()
             && entry.key().0 <= now
         {
             let ((_, run), detail) = entry.remove_entry();
-            // The run may have been given up meanwhile.
+            // The run may have ended in the meantime.
             let Some(id) = self.runs.get(&run).copied() else {
                 continue;
             };
-            let Some(attempt) = self.live.get(&id) else {
+            let Some(attempt) = self.by_id.get(&id) else {
                 continue;
             };
             let offset = attempt.answer.length();
-            out.push(Action::Log(Note::RunResumed {
+            out.push(Action::Log(LogEvent::RunResumed {
                 attempt: id,
                 offset,
                 detail,
@@ -83,7 +83,8 @@
         }
     }
 
-    /// The engine sends the rest; `prefix` is its digest of the bytes before.
+    /// Handles the head of a resumed answer; `prefix` is the engine's digest of the bytes before
+    /// the requested offset.
     pub(crate) fn resumed(
         &mut self,
         now: Instant,
@@ -92,7 +93,7 @@
         prefix: Option<Digest>,
         out: &mut Vec<Action>,
     ) {
-        let Some(attempt) = self.live.get_mut(&id) else {
+        let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
         let is_same = attempt.head.as_ref().is_none_or(|known| {
@@ -103,7 +104,7 @@
             self.fail(now, id, true, DETAIL_DIFFERS.to_owned(), out);
             return;
         }
-        attempt.reading = Reading::Idle;
+        attempt.read_state = ReadState::Idle;
         attempt.head.get_or_insert(head);
         self.relay(now, id, out);
     }
--- a/components/agent/src/runs.rs
+++ b/components/agent/src/runs.rs
@@ -1,4 +1,4 @@
-//! Progress of runs at the target, lost connections, and time limits.
+//! Events of runs at the target, closed connections, and time limits.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 
 use crate::attempt::Head;
 use crate::attempt::Phase;
-use crate::attempt::Reading;
+use crate::attempt::ReadState;
 use crate::attempts::Attempts;
 use crate::event::Action;
 use crate::event::ConnectionId;
@@ -19,17 +19,23 @@
 use crate::event::TargetEvent;
 use crate::limits::ORPHAN_LIMIT_MS;
 use crate::limits::OVERRUN_LIMIT_MS;
-use crate::memory::Fate;
-use crate::report::Note;
+use crate::log_event::LogEvent;
+use crate::memory::Record;
 
-/// Finished answers of idempotent attempts that are kept at most.
+/// Maximum number of kept answers of idempotent attempts.
 const KEPT_IDEMPOTENT_LIMIT: usize = 4096;
 const DETAIL_ORPHANED: &str = "no entry resumed the attempt in time";
-const DETAIL_OVERRUN: &str = "the target did not answer in time";
+const DETAIL_OVERRUN: &str = "the target did not finish its answer in time";
 
 impl Attempts {
-    /// Takes progress of a run. Events of a run that was given up are late and are dropped.
-    pub fn target(&mut self, now: Instant, run: RunId, event: TargetEvent, out: &mut Vec<Action>) {
+    /// Handles an event of a run. Late events of a run that has ended are ignored.
+    pub fn target_event(
+        &mut self,
+        now: Instant,
+        run: RunId,
+        event: TargetEvent,
+        out: &mut Vec<Action>,
+    ) {
         let Some(id) = self.runs.get(&run).copied() else {
             return;
         };
@@ -47,9 +53,9 @@
                 self.head(now, id, head, out);
             }
             TargetEvent::Bytes(bytes) => {
-                if let Some(attempt) = self.live.get_mut(&id) {
-                    attempt.reading = Reading::Idle;
-                    attempt.resumes = 0;
+                if let Some(attempt) = self.by_id.get_mut(&id) {
+                    attempt.read_state = ReadState::Idle;
+                    attempt.resume_count = 0;
                     attempt.answer.push(&bytes);
                     attempt.tail.push(&bytes);
                 }
@@ -70,39 +76,40 @@
             }
             TargetEvent::Forgotten { detail } => self.fail(now, id, true, detail, out),
             TargetEvent::End => {
-                let usage = self.live.get(&id).map(|attempt| attempt.tail.usage());
+                let usage = self.by_id.get(&id).map(|attempt| attempt.tail.usage());
                 self.finish(now, id, Phase::Done(usage.unwrap_or_default()));
                 self.relay(now, id, out);
                 self.start_next(now, out);
-                self.trim_kept(now);
+                self.evict_kept(now);
             }
             TargetEvent::Failed { sent, detail } => self.run_failed(now, id, sent, detail, out),
         }
     }
 
     fn head(&mut self, now: Instant, id: AttemptId, head: Head, out: &mut Vec<Action>) {
-        let Some(attempt) = self.live.get_mut(&id) else {
+        let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
-        // An engine refuses with these before it runs anything. A plain service's own statuses
-        // prove nothing, and a non-idempotent answer is passed on as it is.
-        let refusal = match head.status {
+        // An engine returns these statuses before it runs anything, so the attempt can be retried
+        // elsewhere. From a plain service they prove nothing, and a non-idempotent attempt must not
+        // be retried, so those answers are relayed.
+        let rejection_reason = match head.status {
             429 => Some(Rejection::Overloaded),
             503 => Some(Rejection::Away),
             _ => None,
         };
-        if let Some(reason) = refusal
+        if let Some(reason) = rejection_reason
             && attempt.idempotent
             && self.limits.kind == ServiceKind::Model
         {
             if let Some(attempt) = self.abort(id, out) {
-                self.recent.set(id, Fate::Forbidden);
+                self.idempotent_history.record(id, Record::Forbidden);
                 self.reject_readers(now, &attempt, reason, out);
             }
             self.start_next(now, out);
             return;
         }
-        attempt.reading = Reading::Idle;
+        attempt.read_state = ReadState::Idle;
         attempt.head = Some(head);
         self.relay(now, id, out);
     }
@@ -115,8 +122,12 @@
         detail: String,
         out: &mut Vec<Action>,
     ) {
-        // The engine may have begun a run that was asked for again, whatever became of that.
-        let sent = sent || self.live.get(&id).is_some_and(|attempt| attempt.is_resumed);
+        // After a resume request the engine may have begun the run, whatever became of the request.
+        let sent = sent
+            || self
+                .by_id
+                .get(&id)
+                .is_some_and(|attempt| attempt.is_resumed);
         if sent && self.plan_resume(now, id, &detail) {
             self.start_resumes(now, out);
         } else {
@@ -124,7 +135,7 @@
         }
     }
 
-    /// Ends a run without a whole answer.
+    /// Ends a run without a complete answer.
     pub(crate) fn fail(
         &mut self,
         now: Instant,
@@ -133,7 +144,7 @@
         detail: String,
         out: &mut Vec<Action>,
     ) {
-        out.push(Action::Log(Note::RunFailed {
+        out.push(Action::Log(LogEvent::RunFailed {
             attempt: id,
             sent,
             detail: detail.clone(),
@@ -141,33 +152,33 @@
         if sent {
             self.finish(now, id, Phase::Failed(detail));
             self.relay(now, id, out);
-        } else if let Some(attempt) = self.live.remove(&id) {
+        } else if let Some(attempt) = self.by_id.remove(&id) {
             self.runs.remove(&attempt.run);
-            self.remember(id, attempt.idempotent, Fate::Forbidden);
+            self.update_history(id, attempt.idempotent, Record::Forbidden);
             self.update_counts();
             self.reject_readers(now, &attempt, Rejection::Unreachable, out);
         }
         self.start_next(now, out);
     }
 
-    /// The connection is gone; its entry may come back on another one.
+    /// Detaches the readers of a closed connection; its entry may resume on another one.
     pub fn disconnected(&mut self, now: Instant, connection: ConnectionId, out: &mut Vec<Action>) {
         let mut affected: Vec<AttemptId> = Vec::new();
-        for attempt in self.live.values_mut() {
+        for attempt in self.by_id.values_mut() {
             if attempt.detach(connection) {
                 if attempt.readers.is_empty() {
-                    attempt.orphaned = Some(now);
+                    attempt.orphaned_since = Some(now);
                 }
                 affected.push(attempt.id);
             }
         }
         affected.sort_unstable();
         for id in affected {
-            let receives = self
-                .live
+            let is_receiving = self
+                .by_id
                 .get(&id)
                 .is_some_and(|attempt| attempt.phase == Phase::Receiving);
-            if receives {
+            if is_receiving {
                 self.remove_waiting(id);
             } else {
                 self.relay(now, id, out);
@@ -175,12 +186,12 @@
         }
     }
 
-    /// Applies time limits.
+    /// Applies time limits and starts waiting attempts.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.expire_waiting(now, out);
         self.expire_running(now, out);
         self.start_resumes(now, out);
-        self.trim_kept(now);
+        self.evict_kept(now);
         self.start_next(now, out);
     }
 
@@ -189,7 +200,7 @@
             return;
         }
         let mut expired: Vec<AttemptId> = self
-            .live
+            .by_id
             .values()
             .filter(|attempt| attempt.is_waiting() && now >= attempt.deadline)
             .map(|attempt| attempt.id)
@@ -203,12 +214,12 @@
     fn expire_running(&mut self, now: Instant, out: &mut Vec<Action>) {
         let mut expired: Vec<(AttemptId, &'static str)> = Vec::new();
         for id in self.runs.values() {
-            let Some(attempt) = self.live.get(id) else {
+            let Some(attempt) = self.by_id.get(id) else {
                 continue;
             };
             let is_orphan = attempt.idempotent
                 && attempt
-                    .orphaned
+                    .orphaned_since
                     .is_some_and(|since| now >= since + ORPHAN_LIMIT_MS);
             if is_orphan {
                 expired.push((*id, DETAIL_ORPHANED));
@@ -218,7 +229,7 @@
         }
         expired.sort_unstable();
         for (id, detail) in expired {
-            out.push(Action::Log(Note::RunFailed {
+            out.push(Action::Log(LogEvent::RunFailed {
                 attempt: id,
                 sent: true,
                 detail: detail.to_owned(),
@@ -239,16 +250,16 @@
         }
     }
 
-    /// Drops finished answers past their time or beyond the limits, the oldest first. Answers
-    /// that an attached entry still reads stay.
-    fn trim_kept(&mut self, now: Instant) {
-        // Idempotent ones go first: they can be had again.
+    /// Evicts finished answers that exceed the age, count or size limits, oldest first. Answers
+    /// that an attached entry is still reading are kept.
+    fn evict_kept(&mut self, now: Instant) {
+        // Idempotent attempts are evicted first, because they can run again.
         let idempotent_ms = self.limits.kept_idempotent_ms;
-        self.trim_one(now, 1, idempotent_ms, KEPT_IDEMPOTENT_LIMIT);
-        self.trim_one(now, 0, self.limits.kept_ms, self.limits.kept_count_limit);
+        self.evict_queue(now, 1, idempotent_ms, KEPT_IDEMPOTENT_LIMIT);
+        self.evict_queue(now, 0, self.limits.kept_ms, self.limits.kept_count_limit);
     }
 
-    fn trim_one(&mut self, now: Instant, index: usize, kept_ms: Duration, count_limit: usize) {
+    fn evict_queue(&mut self, now: Instant, index: usize, kept_ms: Duration, count_limit: usize) {
         let mut still_read = Vec::new();
         while let Some((since, id)) = self.finished[index].front().copied() {
             let is_due = now >= since + kept_ms
@@ -258,9 +269,9 @@
                 break;
             }
             self.finished[index].pop_front();
-            match self.live.get(&id) {
+            match self.by_id.get(&id) {
                 Some(attempt) if attempt.is_undelivered() => still_read.push((since, id)),
-                _ => self.drop_finished(id),
+                _ => self.evict_finished(id),
             }
         }
         for entry in still_read.into_iter().rev() {
--- a/components/agent/src/machine.rs
+++ b/components/agent/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The agent's decisions: events in, actions out.
+//! State machine of the agent: takes events and returns actions.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,41 +13,41 @@
 
 use crate::admission::refuse_connection;
 use crate::attempts::Attempts;
-use crate::cover::Cover;
 use crate::event::Action;
 use crate::event::ConnectionId;
 use crate::event::Event;
 use crate::event::ExitReason;
+use crate::hint_sources::HintSources;
+use crate::limits::ACKNOWLEDGE_LIMIT_MS;
 use crate::limits::IDLE_LIMIT_MS;
-use crate::limits::LINGER_MS;
 use crate::limits::Limits;
 use crate::limits::RELEASE_LIMIT_MS;
 use crate::limits::SILENCE_LIMIT_MS;
 use crate::limits::TICK_MS;
-use crate::load::LoadBook;
-use crate::orders::Hold;
+use crate::load::LoadReporter;
+use crate::log_event::LogEvent;
 use crate::orders::Orders;
-use crate::report::Note;
+use crate::orders::RegistrationState;
 
-/// Most cache events in one frame.
-const CACHE_BATCH: usize = 1024;
+/// Maximum number of cache events in one frame.
+const CACHE_BATCH_LIMIT: usize = 1024;
 
-/// State machine of one agent.
+/// State machine of one agent process.
 pub struct Agent {
     limits: Rc<Limits>,
     attempts: Attempts,
     orders: Orders,
-    /// Open connections that have said `Hello`, with the time of their last frame.
+    /// Connections that have sent `Hello`, with the time of their last frame.
     connections: BTreeMap<ConnectionId, Instant>,
-    cover: Cover,
-    leaving_since: Option<Instant>,
+    hint_sources: HintSources,
+    stopping_since: Option<Instant>,
     idle_since: Option<Instant>,
-    ticked: Option<Instant>,
-    exited: bool,
+    last_tick: Option<Instant>,
+    has_exited: bool,
 }
 
 impl Agent {
-    /// Knows nothing yet; the first `Tick` sets it off.
+    /// Starts without any state; the first `Tick` begins registration.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         let limits = Rc::new(limits);
@@ -56,36 +56,36 @@
             orders: Orders::new(limits.clone()),
             limits,
             connections: BTreeMap::new(),
-            cover: Cover::default(),
-            leaving_since: None,
+            hint_sources: HintSources::default(),
+            stopping_since: None,
             idle_since: None,
-            ticked: None,
-            exited: false,
+            last_tick: None,
+            has_exited: false,
         }
     }
 
-    /// Attempts accepted and not yet through at the target.
+    /// Accepted attempts whose run at the target has not finished.
     #[must_use]
-    pub fn in_service(&self) -> usize {
-        self.attempts.in_service()
+    pub fn in_flight(&self) -> usize {
+        self.attempts.in_flight()
     }
 
-    /// This run.
+    /// Incarnation of this process.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.limits.incarnation
     }
 
-    /// Counts and flags of the next load report.
+    /// Source of the load reports.
     #[must_use]
-    pub fn load(&self) -> &LoadBook {
+    pub fn load(&self) -> &LoadReporter {
         &self.attempts.load
     }
 
-    /// Takes one event.
+    /// Handles one event; returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        if self.exited {
+        if self.has_exited {
             return out;
         }
         match event {
@@ -94,7 +94,7 @@
                 message,
             } => self.message(now, connection, message, &mut out),
             Event::Disconnected { connection } => {
-                self.cover.disconnected(connection);
+                self.hint_sources.disconnected(connection);
                 if self.connections.remove(&connection).is_some() {
                     self.attempts.disconnected(now, connection, &mut out);
                 }
@@ -107,20 +107,20 @@
                     load: self.attempts.load.report(now),
                 },
             }),
-            // The frequent events change nothing that orders depend on, except the count of
-            // attempts in service, which the next tick sees.
+            // Returns early because these events are frequent and affect orders only through the
+            // count of attempts in flight, which the next tick checks.
             Event::Target { run, event } => {
-                self.attempts.target(now, run, event, &mut out);
+                self.attempts.target_event(now, run, event, &mut out);
                 return out;
             }
-            Event::EngineLoad(load) => self.attempts.load.engine_reported(now, load),
+            Event::EngineLoad(load) => self.attempts.load.set_engine_load(now, load),
             Event::CacheEvents(events) => self.cache_events(events, &mut out),
             Event::EngineState(state) => {
                 self.orders.engine_state(state, &mut out);
                 self.advance(now, &mut out);
             }
             Event::OrderPassed(outcome) => {
-                self.orders.passed(now, outcome, &mut out);
+                self.orders.order_answered(now, outcome, &mut out);
                 self.advance(now, &mut out);
             }
             Event::Slot(result) => {
@@ -128,7 +128,7 @@
                 self.advance(now, &mut out);
             }
             Event::TableDone { operation, result } => {
-                let event = self.orders.row.done(now, operation, result, &mut out);
+                let event = self.orders.row.complete(now, operation, result, &mut out);
                 self.orders.row_event(now, event, &mut out);
                 self.advance(now, &mut out);
             }
@@ -136,11 +136,11 @@
                 entry,
                 sequence,
                 head,
-            } => self.cover.probed(now, entry, sequence, head),
-            Event::Concurrency(concurrency) => {
+            } => self.hint_sources.record_probe(now, entry, sequence, head),
+            Event::ConcurrencyChanged(concurrency) => {
                 self.attempts.set_concurrency(now, concurrency, &mut out);
             }
-            Event::Leaving => self.leave(now, &mut out),
+            Event::Leaving => self.begin_stop(now, &mut out),
             Event::Tick => self.tick(now, &mut out),
         }
         out
@@ -157,11 +157,11 @@
             self.hello(now, connection, &hello, out);
             return;
         }
-        let Some(heard) = self.connections.get_mut(&connection) else {
+        let Some(last_frame_at) = self.connections.get_mut(&connection) else {
             refuse_connection(connection, "message before hello", out);
             return;
         };
-        *heard = now;
+        *last_frame_at = now;
         match message {
             ToAgent::Hello(_) => {}
             ToAgent::Dispatch(dispatch) => {
@@ -192,8 +192,8 @@
                 .attempts
                 .forbid(now, connection, attempt, incarnation, out),
             ToAgent::OrderHint { number } => {
-                if number > self.orders.read_number() {
-                    self.orders.row.hint();
+                if number > self.orders.latest_number() {
+                    self.orders.row.poll_soon();
                     self.advance(now, out);
                 }
             }
@@ -215,11 +215,11 @@
         out: &mut Vec<Action>,
     ) {
         if hello.to != self.limits.target {
-            refuse_connection(connection, "meant for another target", out);
+            refuse_connection(connection, "hello names another target", out);
             return;
         }
         self.connections.insert(connection, now);
-        self.cover.connected(connection, hello.process);
+        self.hint_sources.connected(connection, hello.process);
         out.push(Action::Send {
             connection,
             message: ToEntry::Welcome {
@@ -235,7 +235,7 @@
             return;
         };
         self.orders.engine.cache_sequence = last.sequence;
-        for batch in events.chunks(CACHE_BATCH) {
+        for batch in events.chunks(CACHE_BATCH_LIMIT) {
             for connection in self.connections.keys() {
                 out.push(Action::Send {
                     connection: *connection,
@@ -250,53 +250,57 @@
         self.attempts.tick(now, out);
         self.advance(now, out);
         self.stop_when_done(now, out);
-        self.ticked = Some(now);
+        self.last_tick = Some(now);
     }
 
-    /// After a pause of this process the frames of that time are still to be read.
+    /// Closes connections that exceed the silence limit. After a pause of this process no
+    /// connection is closed, because frames received meanwhile have not been read yet.
     fn close_silent(&mut self, now: Instant, out: &mut Vec<Action>) {
         let gap = self
-            .ticked
+            .last_tick
             .map_or(TICK_MS, |at| now.saturating_duration_since(at));
         if gap >= SILENCE_LIMIT_MS / 2 {
-            for heard in self.connections.values_mut() {
-                *heard = now;
+            for last_frame_at in self.connections.values_mut() {
+                *last_frame_at = now;
             }
             return;
         }
         let silent: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(|(connection, heard)| {
-                let is_silent = now >= **heard + SILENCE_LIMIT_MS;
+            .filter(|(connection, last_frame_at)| {
+                let is_silent = now >= **last_frame_at + SILENCE_LIMIT_MS;
                 is_silent
-                    && (now >= **heard + IDLE_LIMIT_MS || self.attempts.has_reader(**connection))
+                    && (now >= **last_frame_at + IDLE_LIMIT_MS
+                        || self.attempts.has_reader(**connection))
             })
             .map(|(connection, _)| *connection)
             .collect();
         for connection in silent {
             self.connections.remove(&connection);
-            self.cover.disconnected(connection);
+            self.hint_sources.disconnected(connection);
             self.attempts.disconnected(now, connection, out);
             out.push(Action::Close { connection });
         }
     }
 
-    /// Goes on with registration and orders, and announces a change of the target's state.
+    /// Advances registration and orders, and reports the load to all entries if the target's
+    /// availability changed.
     fn advance(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let in_service = self.attempts.in_service();
-        let before = flags(&self.attempts.load);
-        self.orders.row.poll_ms = if self.cover.is_covered(now) {
+        let in_flight = self.attempts.in_flight();
+        let before = announced_state(&self.attempts.load);
+        self.orders.row.poll_ms = if self.hint_sources.has_enough(now) {
             self.limits.order_backup_poll_ms
         } else {
             self.limits.order_poll_ms
         };
-        self.orders.advance(now, in_service, out);
-        self.orders.describe(now, &mut self.attempts.load);
-        // A stage that was entered just now is carried on at once.
-        self.orders.advance(now, in_service, out);
-        self.orders.describe(now, &mut self.attempts.load);
-        if flags(&self.attempts.load) == before {
+        self.orders.advance(now, in_flight, out);
+        self.orders.update_load(now, &mut self.attempts.load);
+        // Runs again, so that a stage entered in the first call continues without waiting for a
+        // tick.
+        self.orders.advance(now, in_flight, out);
+        self.orders.update_load(now, &mut self.attempts.load);
+        if announced_state(&self.attempts.load) == before {
             return;
         }
         for connection in self.connections.keys() {
@@ -308,61 +312,61 @@
         }
     }
 
-    fn leave(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if self.leaving_since.is_some() {
+    fn begin_stop(&mut self, now: Instant, out: &mut Vec<Action>) {
+        if self.stopping_since.is_some() {
             return;
         }
-        self.leaving_since = Some(now);
-        out.push(Action::Log(Note::Leaving {
-            in_service: self.attempts.in_service(),
+        self.stopping_since = Some(now);
+        out.push(Action::Log(LogEvent::Leaving {
+            in_service: self.attempts.in_flight(),
         }));
-        if self.orders.hold() == Hold::Kept {
-            self.orders.end(Hold::Ending);
+        if self.orders.registration_state() == RegistrationState::Active {
+            self.orders.stop(RegistrationState::Stopping);
         }
         self.advance(now, out);
     }
 
     fn stop_when_done(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if self.orders.hold() == Hold::Kept {
+        if self.orders.registration_state() == RegistrationState::Active {
             return;
         }
         let is_announced = self
-            .leaving_since
+            .stopping_since
             .is_none_or(|since| now >= since + self.limits.notice_ms);
         if !is_announced
-            || self.attempts.in_service() > 0
+            || self.attempts.in_flight() > 0
             || self.attempts.is_delivering()
-            || !self.orders.is_quiet(now)
+            || !self.orders.is_settled(now)
         {
             self.idle_since = None;
             return;
         }
         let idle_since = *self.idle_since.get_or_insert(now);
-        if !self.attempts.is_acknowledged() && now < idle_since + LINGER_MS {
+        if !self.attempts.is_acknowledged() && now < idle_since + ACKNOWLEDGE_LIMIT_MS {
             return;
         }
-        match self.orders.hold() {
-            Hold::Superseded => return self.exit(ExitReason::Superseded, out),
-            Hold::Refused => return self.exit(ExitReason::Withdrawn, out),
+        match self.orders.registration_state() {
+            RegistrationState::Superseded => return self.exit(ExitReason::Superseded, out),
+            RegistrationState::Refused => return self.exit(ExitReason::Withdrawn, out),
             _ => {}
         }
         self.orders.release();
         self.advance(now, out);
-        let is_over = self.orders.hold() == Hold::Released
-            || self.orders.row.held.is_none()
+        let is_finished = self.orders.registration_state() == RegistrationState::Released
+            || self.orders.row.registered.is_none()
             || now >= idle_since + RELEASE_LIMIT_MS;
-        if is_over {
+        if is_finished {
             self.exit(ExitReason::Stopped, out);
         }
     }
 
     fn exit(&mut self, reason: ExitReason, out: &mut Vec<Action>) {
-        self.exited = true;
+        self.has_exited = true;
         out.push(Action::Exit(reason));
     }
 }
 
-/// Part of the report that entries must hear of at once.
-fn flags(load: &LoadBook) -> (bool, bool, u64) {
+/// Load report fields whose change is sent to entries at once.
+fn announced_state(load: &LoadReporter) -> (bool, bool, u64) {
     (load.leaving, load.away, load.applied)
 }
