--- a/components/agent/src/row.rs
+++ b/components/agent/src/target_row.rs
@@ -1,7 +1,7 @@
-//! The agent's hold on its target row, and its view of the order row.
+//! Reads and writes of the target row, and reads of the order row.
 //!
-//! One table call is under way at a time. A write reads the rows first and commits under their
-//! versions; a lost reply is resolved by reading again.
+//! At most one table call is in progress. A write first reads the rows and then commits on
+//! condition of their versions. If the reply to a commit is lost, the rows are read again.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,51 +28,52 @@
 use crate::event::OperationId;
 use crate::limits::Limits;
 use crate::limits::RETRY_MS;
-use crate::report::Note;
+use crate::log_event::LogEvent;
 
-/// What a finished table call means.
+/// Result of a completed table call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowEvent {
-    /// Nothing yet.
+    /// No result for the caller.
     None,
-    /// The order row was read; the read began at this time.
+    /// The order row was read. Holds the time at which the read began.
     Polled(Instant, Option<Order>),
-    /// The rows were read for a write; the caller supplies the update.
+    /// The rows were read for a write; the caller must supply the update. Holds the current target
+    /// row.
     Plan(Option<Box<Target>>),
-    /// The update stands in the table. `None` after a release.
+    /// The update is committed. Holds the new target row, or `None` after a release.
     Written(Option<Box<Target>>),
-    /// The target cannot be held.
+    /// Registration was refused for good.
     Refused(String),
-    /// Another run holds the target.
+    /// Another agent process has registered for the target.
     Superseded(Incarnation),
 }
 
 #[derive(Debug, Clone)]
-enum Step {
+enum Call {
     Poll(Instant),
     ReadForWrite,
     Commit(Box<Target>),
 }
 
-/// Hold on the target row.
+/// This agent's access to its target row and order row.
 pub struct TargetRow {
     limits: Rc<Limits>,
-    pending: Option<(OperationId, Step)>,
+    pending: Option<(OperationId, Call)>,
     rows: RowSet,
     next_operation: OperationId,
     retry_at: Option<Instant>,
-    polled: Option<Instant>,
-    /// A call has failed since the rows were last read.
+    last_poll: Option<Instant>,
+    /// A call has failed since the last successful poll.
     has_failed: bool,
-    /// Time between two reads of the order row.
+    /// Poll interval of the order row.
     pub poll_ms: Duration,
-    first_event: Option<Instant>,
-    /// The row as this run last wrote or read it; `None` until it is held.
-    pub held: Option<Target>,
+    first_call_at: Option<Instant>,
+    /// Target row as last written or read by this process; `None` until it is registered.
+    pub registered: Option<Target>,
 }
 
 impl TargetRow {
-    /// Not held yet.
+    /// Starts unregistered.
     #[must_use]
     pub fn new(limits: Rc<Limits>) -> Self {
         Self {
@@ -82,50 +83,50 @@
             rows: RowSet::default(),
             next_operation: 1,
             retry_at: None,
-            polled: None,
+            last_poll: None,
             has_failed: false,
-            first_event: None,
-            held: None,
+            first_call_at: None,
+            registered: None,
         }
     }
 
-    /// Whether a table call may be started now.
+    /// Whether a table call may start: none is in progress and the retry pause is over.
     #[must_use]
     pub fn is_free(&self, now: Instant) -> bool {
         self.pending.is_none() && self.retry_at.is_none_or(|at| now >= at)
     }
 
-    /// Whether the order row is due to be read.
+    /// Whether a poll is due.
     #[must_use]
     pub fn is_poll_due(&self, now: Instant) -> bool {
-        // A hint whose read has failed must not wait for the long interval.
+        // Retries a failed poll after the short interval, because a hint may have triggered it.
         let interval_ms = if self.has_failed {
             self.poll_ms.min(self.limits.order_poll_ms)
         } else {
             self.poll_ms
         };
-        self.polled.is_none_or(|at| now >= at + interval_ms)
+        self.last_poll.is_none_or(|at| now >= at + interval_ms)
     }
 
-    /// The order row is read at the next chance.
-    pub fn hint(&mut self) {
-        self.polled = None;
+    /// Makes a poll due at once.
+    pub fn poll_soon(&mut self) {
+        self.last_poll = None;
     }
 
     /// Reads the target row and the order row.
     pub fn poll(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.polled = Some(now);
+        self.last_poll = Some(now);
         let keys = vec![
             keys::target(&self.limits.target),
             keys::order(&self.limits.target),
         ];
-        self.call(now, Step::Poll(now), TableRequest::Read(keys), out);
+        self.call(now, Call::Poll(now), TableRequest::Read(keys), out);
     }
 
-    /// Begins a write; `RowEvent::Plan` follows.
+    /// Reads the rows for a write; [`RowEvent::Plan`] follows.
     pub fn begin_write(&mut self, now: Instant, out: &mut Vec<Action>) {
         let keys = self.write_keys();
-        self.call(now, Step::ReadForWrite, TableRequest::Read(keys), out);
+        self.call(now, Call::ReadForWrite, TableRequest::Read(keys), out);
     }
 
     fn write_keys(&self) -> Vec<String> {
@@ -136,8 +137,8 @@
         ]
     }
 
-    /// Commits an update after `RowEvent::Plan`. The event that it returns is `None` while the
-    /// commit is under way.
+    /// Commits an update after [`RowEvent::Plan`]. Returns [`RowEvent::None`] while the commit is
+    /// in progress.
     pub fn commit(
         &mut self,
         now: Instant,
@@ -145,7 +146,7 @@
         reason: &str,
         out: &mut Vec<Action>,
     ) -> RowEvent {
-        let first = *self.first_event.get_or_insert(now);
+        let first = *self.first_call_at.get_or_insert(now);
         let meta = Meta {
             by: format!("agent/{}", self.limits.target),
             at_ms: self.limits.started_wall_ms + now.saturating_duration_since(first),
@@ -157,23 +158,24 @@
                 let ChangeBody::Target { after, .. } = planned.change.body else {
                     return RowEvent::None;
                 };
-                let step = Step::Commit(Box::new(after));
+                let step = Call::Commit(Box::new(after));
                 self.call(now, step, TableRequest::Commit(planned.transaction), out);
                 RowEvent::None
             }
-            // An earlier try took effect although its reply was lost.
-            Ok(None) => RowEvent::Written(self.held.clone().map(Box::new)),
+            // The rows already contain the update: an earlier commit succeeded but its reply was
+            // lost.
+            Ok(None) => RowEvent::Written(self.registered.clone().map(Box::new)),
             Err(TargetError::Superseded { incarnation, .. }) => RowEvent::Superseded(incarnation),
             Err(error @ TargetError::Withdrawn { .. }) => RowEvent::Refused(error.to_string()),
             Err(error) => {
-                self.failed(now, "plan", error.to_string(), out);
+                self.record_failure(now, "plan", error.to_string(), out);
                 RowEvent::None
             }
         }
     }
 
-    /// Takes the result of a table call.
-    pub fn done(
+    /// Handles the result of a table call.
+    pub fn complete(
         &mut self,
         now: Instant,
         operation: OperationId,
@@ -184,26 +186,27 @@
             return RowEvent::None;
         };
         match (step, result) {
-            (Step::Poll(began), Ok(TableReply::Rows(rows))) => self.polled(now, began, &rows, out),
-            (Step::ReadForWrite, Ok(TableReply::Rows(rows))) => self.read(now, rows, out),
-            (Step::Commit(after), Ok(TableReply::Commit(CommitOutcome::Committed(_)))) => {
-                self.held = Some((*after).clone());
+            (Call::Poll(began), Ok(TableReply::Rows(rows))) => self.on_poll(now, began, &rows, out),
+            (Call::ReadForWrite, Ok(TableReply::Rows(rows))) => self.on_read(now, rows, out),
+            (Call::Commit(after), Ok(TableReply::Commit(CommitOutcome::Committed(_)))) => {
+                self.registered = Some((*after).clone());
                 RowEvent::Written(Some(after))
             }
-            // The head moves with every change of anyone, so a lost race is tried again at once.
-            (Step::Commit(_), Ok(TableReply::Commit(CommitOutcome::Conflict(_)))) => RowEvent::None,
+            // Every change in the deployment moves the head, so conflicts are common; retries at
+            // once.
+            (Call::Commit(_), Ok(TableReply::Commit(CommitOutcome::Conflict(_)))) => RowEvent::None,
             (_, Ok(_)) => {
-                self.failed(now, "call", "answer of another kind".to_owned(), out);
+                self.record_failure(now, "call", "unexpected type of reply".to_owned(), out);
                 RowEvent::None
             }
             (_, Err(error)) => {
-                self.failed(now, "call", error.to_string(), out);
+                self.record_failure(now, "call", error.to_string(), out);
                 RowEvent::None
             }
         }
     }
 
-    fn polled(
+    fn on_poll(
         &mut self,
         now: Instant,
         began: Instant,
@@ -216,13 +219,13 @@
         match (self.target_of(&read), order) {
             (Ok(target), Ok(order)) => {
                 self.has_failed = false;
-                match self.check_holder(target) {
+                match self.check_owner(target) {
                     Some(other) => RowEvent::Superseded(other),
                     None => RowEvent::Polled(began, order),
                 }
             }
             (Err(error), _) | (_, Err(error)) => {
-                self.failed(now, "read", error.to_string(), out);
+                self.record_failure(now, "read", error.to_string(), out);
                 RowEvent::None
             }
         }
@@ -233,35 +236,35 @@
         Ok(stored.map(|stored| stored.value))
     }
 
-    fn read(&mut self, now: Instant, rows: Vec<Row>, out: &mut Vec<Action>) -> RowEvent {
+    fn on_read(&mut self, now: Instant, rows: Vec<Row>, out: &mut Vec<Action>) -> RowEvent {
         let mut read = RowSet::default();
         read.add_read(&self.write_keys(), rows);
         let target = match self.target_of(&read) {
             Ok(target) => target,
             Err(error) => {
-                self.failed(now, "read", error.to_string(), out);
+                self.record_failure(now, "read", error.to_string(), out);
                 return RowEvent::None;
             }
         };
         self.rows = read;
-        // A registration whose reply was lost is seen here.
+        // The row may be registered by this process although the reply to the commit was lost.
         let is_ours = target
             .as_ref()
             .is_some_and(|target| target.incarnation == self.limits.incarnation);
-        if (self.held.is_some() || is_ours)
-            && let Some(other) = self.check_holder(target.clone())
+        if (self.registered.is_some() || is_ours)
+            && let Some(other) = self.check_owner(target.clone())
         {
             return RowEvent::Superseded(other);
         }
         RowEvent::Plan(target.map(Box::new))
     }
 
-    /// Other run that holds the row, if this run held it before.
-    fn check_holder(&mut self, target: Option<Target>) -> Option<Incarnation> {
+    /// Returns the incarnation of another process that owns the row; otherwise stores the row.
+    fn check_owner(&mut self, target: Option<Target>) -> Option<Incarnation> {
         match target {
             Some(target) if target.incarnation == self.limits.incarnation => {
-                // Operators change the state in the row.
-                self.held = Some(target);
+                // Operators change the target's state in this row.
+                self.registered = Some(target);
                 None
             }
             Some(target) => Some(target.incarnation),
@@ -269,14 +272,20 @@
         }
     }
 
-    fn failed(&mut self, now: Instant, step: &'static str, detail: String, out: &mut Vec<Action>) {
+    fn record_failure(
+        &mut self,
+        now: Instant,
+        step: &'static str,
+        detail: String,
+        out: &mut Vec<Action>,
+    ) {
         self.retry_at = Some(now + RETRY_MS);
         self.has_failed = true;
-        out.push(Action::Log(Note::TableFailed { step, detail }));
+        out.push(Action::Log(LogEvent::TableFailed { step, detail }));
     }
 
-    fn call(&mut self, now: Instant, step: Step, request: TableRequest, out: &mut Vec<Action>) {
-        self.first_event.get_or_insert(now);
+    fn call(&mut self, now: Instant, step: Call, request: TableRequest, out: &mut Vec<Action>) {
+        self.first_call_at.get_or_insert(now);
         self.retry_at = None;
         let operation = self.next_operation;
         self.next_operation += 1;
@@ -284,12 +293,12 @@
         out.push(Action::Table { operation, request });
     }
 
-    /// Whether a write was begun and is not over.
+    /// Whether a write is in progress.
     #[must_use]
     pub fn is_writing(&self) -> bool {
         matches!(
             self.pending,
-            Some((_, Step::ReadForWrite | Step::Commit(_)))
+            Some((_, Call::ReadForWrite | Call::Commit(_)))
         )
     }
 }
