--- a/components/agent/src/admission.rs
+++ b/components/agent/src/admission.rs
@@ -16,9 +16,9 @@
 use crate::attempts::Attempts;
 use crate::event::Action;
 use crate::event::ConnectionId;
+use crate::history::Lookup;
+use crate::history::Record;
 use crate::log_event::LogEvent;
-use crate::memory::Lookup;
-use crate::memory::Record;
 
 const DETAIL_LOST: &str = "the attempt was started, but its answer is no longer kept";
 const DETAIL_EVICTED: &str = "the attempt is too old for this agent to know whether it ran";
--- a/components/agent/src/attempts.rs
+++ b/components/agent/src/attempts.rs
@@ -18,11 +18,11 @@
 use crate::event::Action;
 use crate::event::ConnectionId;
 use crate::event::RunId;
+use crate::history::AttemptHistory;
+use crate::history::Record;
 use crate::limits::Limits;
 use crate::load::LoadReporter;
 use crate::log_event::LogEvent;
-use crate::memory::AttemptHistory;
-use crate::memory::Record;
 use crate::usage::AnswerTail;
 
 /// Records of started idempotent attempts. At 2,000 requests per second this covers the seconds in
--- a/components/agent/src/runs.rs
+++ b/components/agent/src/runs.rs
@@ -17,10 +17,10 @@
 use crate::event::ConnectionId;
 use crate::event::RunId;
 use crate::event::TargetEvent;
+use crate::history::Record;
 use crate::limits::ORPHAN_LIMIT_MS;
 use crate::limits::OVERRUN_LIMIT_MS;
 use crate::log_event::LogEvent;
-use crate::memory::Record;
 
 /// Maximum number of kept answers of idempotent attempts.
 const KEPT_IDEMPOTENT_LIMIT: usize = 4096;
