--- a/components/agent/src/admission.rs
+++ b/components/agent/src/admission.rs
@@ -96,7 +96,7 @@
             return;
         }
         let attempt = Attempt::new(now, connection, dispatch);
-        let is_whole = attempt.body_bytes == body_length(&attempt);
+        let is_complete = attempt.body_bytes == body_length(&attempt);
         self.receiving += 1;
         self.waiting_bytes += attempt.body_bytes;
         self.load.queued_tokens += u64::from(attempt.prompt_tokens);
@@ -105,7 +105,7 @@
             connection,
             message: ToEntry::Accepted { attempt: id },
         });
-        if is_whole {
+        if is_complete {
             self.enqueue(now, id);
             self.start_next(now, out);
         }
@@ -223,7 +223,7 @@
         let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
-        if offset < attempt.answer.base() || offset > attempt.answer.length() {
+        if offset < attempt.answer.start_offset() || offset > attempt.answer.length() {
             attempt.detach(connection);
             send_failed(connection, id, DETAIL_LOST, out);
             return;
@@ -340,10 +340,10 @@
                 return ForbidOutcome::NeverRun;
             }
             Some(attempt) => {
-                let is_whole = attempt.answer.base() == 0;
+                let has_all_bytes = attempt.answer.start_offset() == 0;
                 return match attempt.phase {
                     Phase::Failed(_) => ForbidOutcome::Lost,
-                    _ if is_whole => ForbidOutcome::Started,
+                    _ if has_all_bytes => ForbidOutcome::Started,
                     _ => ForbidOutcome::Lost,
                 };
             }
--- a/components/agent/src/answer.rs
+++ b/components/agent/src/answer.rs
@@ -12,7 +12,7 @@
 /// Kept bytes of an answer, and the digest of all its bytes.
 #[derive(Default)]
 pub struct Answer {
-    base: u64,
+    start_offset: u64,
     bytes: VecDeque<u8>,
     digest: AnswerDigest,
     /// Length and digest of the complete answer.
@@ -38,8 +38,8 @@
 
     /// Offset of the first kept byte.
     #[must_use]
-    pub fn base(&self) -> u64 {
-        self.base
+    pub fn start_offset(&self) -> u64 {
+        self.start_offset
     }
 
     /// Bytes received from the target so far, including discarded ones.
@@ -51,7 +51,7 @@
 
     /// Number of kept bytes.
     #[must_use]
-    pub fn held_bytes(&self) -> usize {
+    pub fn kept_bytes(&self) -> usize {
         self.bytes.len()
     }
 
@@ -62,10 +62,10 @@
             .map_or_else(|| self.digest.digest(), |(_, digest)| digest)
     }
 
-    /// Copies at most `limit_bytes` from `offset`, which must not be less than `base`.
+    /// Copies at most `limit_bytes` from `offset`, which must not be less than `start_offset`.
     #[must_use]
     pub fn copy(&self, offset: u64, limit_bytes: u64) -> Vec<u8> {
-        let start = to_index(offset.saturating_sub(self.base)).min(self.bytes.len());
+        let start = to_index(offset.saturating_sub(self.start_offset)).min(self.bytes.len());
         let end = start
             .saturating_add(to_index(limit_bytes))
             .min(self.bytes.len());
@@ -81,10 +81,10 @@
     }
 
     /// Discards bytes before `offset`.
-    pub fn release(&mut self, offset: u64) {
-        let count = to_index(offset.saturating_sub(self.base)).min(self.bytes.len());
+    pub fn discard(&mut self, offset: u64) {
+        let count = to_index(offset.saturating_sub(self.start_offset)).min(self.bytes.len());
         self.bytes.drain(..count);
-        self.base += count as u64;
+        self.start_offset += count as u64;
         if self.bytes.is_empty() {
             // Frees the allocation, which would otherwise keep its peak size.
             self.bytes = VecDeque::new();
--- a/components/agent/src/attempt.rs
+++ b/components/agent/src/attempt.rs
@@ -52,9 +52,9 @@
     sent: u64,
     acknowledged: u64,
     credit_limit: u64,
-    head_sent: bool,
+    is_head_sent: bool,
     /// `End` or `Failed` was sent.
-    pub end_sent: bool,
+    pub is_end_sent: bool,
 }
 
 impl Reader {
@@ -66,8 +66,8 @@
             sent: offset,
             acknowledged: offset,
             credit_limit: offset.saturating_add(u64::from(credit_bytes)),
-            head_sent: false,
-            end_sent: false,
+            is_head_sent: false,
+            is_end_sent: false,
         }
     }
 
@@ -80,7 +80,7 @@
     /// Whether the entry has acknowledged all `length` bytes of the answer.
     #[must_use]
     pub fn has_all(&self, length: u64) -> bool {
-        self.end_sent && self.acknowledged >= length
+        self.is_end_sent && self.acknowledged >= length
     }
 }
 
@@ -194,7 +194,7 @@
     /// Whether any attached entry has not been sent the end of the answer.
     #[must_use]
     pub fn is_undelivered(&self) -> bool {
-        self.readers.iter().any(|reader| !reader.end_sent)
+        self.readers.iter().any(|reader| !reader.is_end_sent)
     }
 
     /// Lowest offset acknowledged by all attached entries; `None` without entries.
@@ -207,7 +207,7 @@
     #[must_use]
     pub fn has_buffer_space(&self, limit_bytes: usize) -> bool {
         if self.idempotent {
-            return self.answer.held_bytes() < limit_bytes;
+            return self.answer.kept_bytes() < limit_bytes;
         }
         // Without a reader nothing is pending, so a non-idempotent run is read to its end.
         let pending = self
@@ -217,13 +217,13 @@
     }
 
     /// Discards bytes that no entry can request any more.
-    pub fn release(&mut self) {
+    pub fn discard_unneeded(&mut self) {
         if self.is_kept_whole {
             return;
         }
         match self.acknowledged() {
-            Some(acknowledged) => self.answer.release(acknowledged),
-            None if !self.idempotent => self.answer.release(self.answer.length()),
+            Some(acknowledged) => self.answer.discard(acknowledged),
+            None if !self.idempotent => self.answer.discard(self.answer.length()),
             None => {}
         }
     }
@@ -231,11 +231,11 @@
     /// Sends each reader the bytes that its credit allows.
     pub fn relay(&mut self, now: Instant, load: &mut LoadReporter, out: &mut Vec<Action>) {
         for reader in &mut self.readers {
-            if reader.end_sent {
+            if reader.is_end_sent {
                 continue;
             }
             if let Phase::Failed(detail) = &self.phase {
-                reader.end_sent = true;
+                reader.is_end_sent = true;
                 out.push(Action::Send {
                     connection: reader.connection,
                     message: failed(self.id, detail.clone()),
@@ -245,8 +245,8 @@
             let Some(head) = &self.head else {
                 continue;
             };
-            if !reader.head_sent {
-                reader.head_sent = true;
+            if !reader.is_head_sent {
+                reader.is_head_sent = true;
                 out.push(Action::Send {
                     connection: reader.connection,
                     message: ToEntry::Head {
@@ -261,7 +261,7 @@
             if let Phase::Done(usage) = self.phase
                 && reader.sent == self.answer.length()
             {
-                reader.end_sent = true;
+                reader.is_end_sent = true;
                 out.push(Action::Send {
                     connection: reader.connection,
                     message: ToEntry::End {
--- a/components/agent/src/attempts.rs
+++ b/components/agent/src/attempts.rs
@@ -25,8 +25,8 @@
 use crate::log_event::LogEvent;
 use crate::usage::AnswerTail;
 
-/// Records of started idempotent attempts. At 2,000 requests per second this covers the seconds in
-/// which an entry replaces a silent connection and resumes.
+/// Maximum number of idempotent attempts in the history. At 2,000 requests per second this covers
+/// the seconds in which an entry replaces a silent connection and resumes.
 const IDEMPOTENT_HISTORY_LIMIT: usize = 16_384;
 /// Queue delay per priority level. It is finite, so that waiting attempts of the lowest priority
 /// are not starved.
@@ -47,6 +47,7 @@
     pub(crate) next_run_id: RunId,
     /// Resume requests to send, by time, with the cause of each.
     pub(crate) pending_resumes: BTreeMap<(Instant, RunId), String>,
+    /// Finished attempts from oldest to newest; the index is 1 for idempotent ones.
     pub(crate) finished: [VecDeque<(Instant, AttemptId)>; 2],
     pub(crate) kept_bytes: usize,
 }
@@ -109,13 +110,13 @@
 
     /// Whether a connection has a reader that has not been sent the end of its answer.
     pub(crate) fn has_reader(&self, connection: ConnectionId) -> bool {
-        let reads = |reader: &Reader| reader.connection == connection && !reader.end_sent;
+        let reads = |reader: &Reader| reader.connection == connection && !reader.is_end_sent;
         self.by_id
             .values()
             .any(|attempt| attempt.readers.iter().any(reads))
     }
 
-    /// Queued attempt with the lowest rank.
+    /// Last attempt in the queue.
     pub(crate) fn last_queued(&self) -> Option<(Instant, AttemptId)> {
         self.queue.last().copied()
     }
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Removes a waiting attempt and records that it must not start.
+    /// Removes a waiting attempt and records that it must never start.
     pub(crate) fn remove_waiting(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.by_id.get(&id)?;
         match attempt.phase {
@@ -264,12 +265,12 @@
         };
         attempt.relay(now, &mut self.load, out);
         if attempt.is_kept_whole
-            && attempt.answer.held_bytes() > self.limits.kept_answer_limit_bytes
+            && attempt.answer.kept_bytes() > self.limits.kept_answer_limit_bytes
         {
             attempt.is_kept_whole = false;
             out.push(Action::Log(LogEvent::AnswerDropped { attempt: id }));
         }
-        attempt.release();
+        attempt.discard_unneeded();
         if attempt.phase == Phase::Running
             && attempt.read_state == ReadState::Idle
             && attempt.has_buffer_space(self.limits.buffer_limit_bytes)
@@ -288,7 +289,7 @@
         attempt.phase = phase;
         attempt.answer.seal();
         attempt.tail = AnswerTail::default();
-        attempt.kept_bytes = attempt.answer.held_bytes();
+        attempt.kept_bytes = attempt.answer.kept_bytes();
         self.kept_bytes += attempt.kept_bytes;
         self.finished[usize::from(attempt.idempotent)].push_back((now, id));
         self.update_counts();
--- a/components/agent/src/change.rs
+++ b/components/agent/src/change.rs
@@ -38,8 +38,7 @@
     /// The order was executed before, and the engine has lost that state since.
     pub is_reconciliation: bool,
     pub stage: Stage,
-    /// When the stage was entered.
-    pub since: Instant,
+    pub entered_at: Instant,
     /// Earliest time of the next step.
     pub not_before: Instant,
     /// A step was sent to the engine before and may still take effect.
@@ -62,7 +61,7 @@
             desired,
             is_reconciliation: false,
             stage,
-            since: now,
+            entered_at: now,
             not_before: now,
             was_sent: false,
         }
@@ -78,7 +77,7 @@
             desired: Some(desired),
             is_reconciliation: true,
             stage,
-            since: now,
+            entered_at: now,
             not_before: now,
             was_sent: false,
         }
@@ -87,7 +86,7 @@
     /// Enters a stage.
     pub fn enter(&mut self, now: Instant, stage: Stage) {
         self.stage = stage;
-        self.since = now;
+        self.entered_at = now;
         self.was_sent |= stage == Stage::Sending;
     }
 
--- a/components/agent/src/daemon/log.rs
+++ b/components/agent/src/daemon/log.rs
@@ -23,8 +23,8 @@
             error!(logger, "another run holds the target";
                 "code" => code, "by" => format!("{by:016x}"));
         }
-        LogEvent::Leaving { in_service } => {
-            info!(logger, "stopping"; "code" => code, "in_service" => in_service);
+        LogEvent::Leaving { in_flight } => {
+            info!(logger, "stopping"; "code" => code, "in_service" => in_flight);
         }
         LogEvent::RegistrationRefused { detail } => {
             error!(logger, "registration refused"; "code" => code, "detail" => detail);
--- a/components/agent/src/engine_monitor.rs
+++ b/components/agent/src/engine_monitor.rs
@@ -111,20 +111,20 @@
     /// Records the result of a state request, `None` for a failed one; returns whether the engine
     /// started or stopped answering.
     pub fn record_state(&mut self, state: Option<EngineState>) -> bool {
-        let changed = self.state.is_some() != state.is_some();
+        let has_changed = self.state.is_some() != state.is_some();
         if state.is_none() {
             // The engine may have restarted, and then its event numbers start again at 1.
             self.cache_sequence = 0;
         }
         self.state = state;
         self.state_read_at = self.read_started.take();
-        changed
+        has_changed
     }
 
     /// Requests the state and load when they are due.
-    pub fn poll(&mut self, now: Instant, changing: bool, out: &mut Vec<Action>) {
+    pub fn poll(&mut self, now: Instant, is_changing: bool, out: &mut Vec<Action>) {
         if self.read_started.is_none() && self.state_due.is_none_or(|at| now >= at) {
-            let interval = if changing {
+            let interval = if is_changing {
                 CHANGE_POLL_MS
             } else {
                 STATE_POLL_MS
--- a/components/agent/src/history.rs
+++ b/components/agent/src/history.rs
@@ -122,7 +122,7 @@
     }
 }
 
-/// Entry and request counter, the two halves that `types::ids::request_id` combines.
+/// Incarnation of the entry, and its request counter: the halves of `types::ids::request_id`.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "the two halves of the id are meant"
--- a/components/agent/src/limits.rs
+++ b/components/agent/src/limits.rs
@@ -16,7 +16,7 @@
 /// A connection with an unfinished attempt is closed after this time without a frame; entries ping
 /// it every 500 ms.
 pub const SILENCE_LIMIT_MS: Duration = Duration::from_secs(2);
-/// As `SILENCE_LIMIT_MS`, for a connection without one; entries ping it every minute.
+/// The same for a connection without an unfinished attempt; entries ping it every minute.
 pub const IDLE_LIMIT_MS: Duration = Duration::from_mins(3);
 /// Poll interval of the engine's load and cache events.
 pub const LOAD_POLL_MS: Duration = Duration::from_millis(500);
@@ -25,7 +25,7 @@
 /// Poll interval of the engine's state while a change is in progress.
 pub const CHANGE_POLL_MS: Duration = Duration::from_millis(100);
 /// Pause before a failed table call or step of an order is retried.
-pub const RETRY_MS: Duration = Duration::from_millis(500);
+pub const RETRY_PAUSE_MS: Duration = Duration::from_millis(500);
 /// Time after which an idempotent run without a reader is aborted.
 pub const ORPHAN_LIMIT_MS: Duration = Duration::from_secs(10);
 /// Time past its deadline after which a run is aborted, so that a target that never answers cannot
--- a/components/agent/src/log_event.rs
+++ b/components/agent/src/log_event.rs
@@ -27,7 +27,7 @@
     /// CS2004: a stop signal was received.
     Leaving {
         /// Accepted attempts that are not finished.
-        in_service: usize,
+        in_flight: usize,
     },
     /// CS2005: the target row was released.
     Released,
--- a/components/agent/src/orders.rs
+++ b/components/agent/src/orders.rs
@@ -17,7 +17,7 @@
 use crate::event::EngineState;
 use crate::event::OrderOutcome;
 use crate::limits::Limits;
-use crate::limits::RETRY_MS;
+use crate::limits::RETRY_PAUSE_MS;
 use crate::log_event::LogEvent;
 use crate::registration::recorded_state;
 use crate::target_row::RowEvent;
@@ -127,7 +127,7 @@
     }
 
     /// Handles the reply to a slot reservation.
-    pub fn slot(&mut self, now: Instant, result: &Result<Option<Duration>, StoreError>) {
+    pub fn slot_reply(&mut self, now: Instant, result: &Result<Option<Duration>, StoreError>) {
         let Some(change) = &mut self.change else {
             return;
         };
@@ -141,7 +141,7 @@
                 change.enter(now, Stage::ReserveSlot);
             }
             Err(_) => {
-                change.not_before = now + RETRY_MS;
+                change.not_before = now + RETRY_PAUSE_MS;
                 change.enter(now, Stage::ReserveSlot);
             }
         }
@@ -170,7 +170,7 @@
                 Some(detail)
             }
             OrderOutcome::Refused(detail) | OrderOutcome::NotSent(detail) => {
-                change.not_before = now + RETRY_MS;
+                change.not_before = now + RETRY_PAUSE_MS;
                 change.enter(now, Stage::ConfirmOrder);
                 Some(detail)
             }
@@ -194,7 +194,7 @@
         match event {
             RowEvent::None => {}
             RowEvent::Polled(began, order) => self.order_polled(now, began, order, out),
-            RowEvent::Plan(current) => self.plan_write(now, current.as_deref(), out),
+            RowEvent::WriteReady(current) => self.commit_update(now, current.as_deref(), out),
             RowEvent::Written(target) => self.row_written(now, target.as_deref(), out),
             RowEvent::Refused(detail) => {
                 self.stop(RegistrationState::Refused);
@@ -231,7 +231,7 @@
         // The order must still be the newest in a read that began after the stage was entered
         // and after the pause.
         let is_confirmed = change.stage == Stage::ConfirmOrder
-            && began >= change.since.max(change.not_before)
+            && began >= change.entered_at.max(change.not_before)
             && self.latest.as_ref() == Some(&change.order);
         if !is_confirmed {
             return;
@@ -283,8 +283,8 @@
     /// Performs all steps that are due.
     pub fn advance(&mut self, now: Instant, in_flight: usize, out: &mut Vec<Action>) {
         if self.is_model() {
-            let changing = self.change.as_ref().is_some_and(Change::rejects_work);
-            self.engine.poll(now, changing, out);
+            let is_changing = self.change.as_ref().is_some_and(Change::rejects_work);
+            self.engine.poll(now, is_changing, out);
         }
         if !self.is_inactive() {
             self.start_next_order(now, out);
@@ -375,7 +375,7 @@
                 out.push(Action::Log(LogEvent::StateDiffers {
                     number: change.order.number,
                 }));
-                change.retry(now, step, now + RETRY_MS);
+                change.retry(now, step, now + RETRY_PAUSE_MS);
             }
             // The engine may have been in this state before, with the order still in flight.
             None if state.number != change.order.number
--- a/components/agent/src/registration.rs
+++ b/components/agent/src/registration.rs
@@ -16,7 +16,7 @@
 
 impl Orders {
     /// Commits the update that is due, based on the current target row.
-    pub(crate) fn plan_write(
+    pub(crate) fn commit_update(
         &mut self,
         now: Instant,
         current: Option<&Target>,
--- a/components/agent/src/resume.rs
+++ b/components/agent/src/resume.rs
@@ -29,7 +29,7 @@
 
 impl Attempts {
     /// Schedules a resume request for a run; returns whether the limits allow one.
-    pub(crate) fn plan_resume(&mut self, now: Instant, id: AttemptId, detail: &str) -> bool {
+    pub(crate) fn schedule_resume(&mut self, now: Instant, id: AttemptId, detail: &str) -> bool {
         if self.limits.kind != ServiceKind::Model {
             return false;
         }
--- a/components/agent/src/runs.rs
+++ b/components/agent/src/runs.rs
@@ -50,7 +50,7 @@
                     content_type,
                     headers,
                 };
-                self.head(now, id, head, out);
+                self.head_received(now, id, head, out);
             }
             TargetEvent::Bytes(bytes) => {
                 if let Some(attempt) = self.by_id.get_mut(&id) {
@@ -86,7 +86,7 @@
         }
     }
 
-    fn head(&mut self, now: Instant, id: AttemptId, head: Head, out: &mut Vec<Action>) {
+    fn head_received(&mut self, now: Instant, id: AttemptId, head: Head, out: &mut Vec<Action>) {
         let Some(attempt) = self.by_id.get_mut(&id) else {
             return;
         };
@@ -128,7 +128,7 @@
                 .by_id
                 .get(&id)
                 .is_some_and(|attempt| attempt.is_resumed);
-        if sent && self.plan_resume(now, id, &detail) {
+        if sent && self.schedule_resume(now, id, &detail) {
             self.start_resumes(now, out);
         } else {
             self.fail(now, id, sent, detail, out);
--- a/components/agent/src/state_machine.rs
+++ b/components/agent/src/state_machine.rs
@@ -124,7 +124,7 @@
                 self.advance(now, &mut out);
             }
             Event::Slot(result) => {
-                self.orders.slot(now, &result);
+                self.orders.slot_reply(now, &result);
                 self.advance(now, &mut out);
             }
             Event::TableDone { operation, result } => {
@@ -318,7 +318,7 @@
         }
         self.stopping_since = Some(now);
         out.push(Action::Log(LogEvent::Leaving {
-            in_service: self.attempts.in_flight(),
+            in_flight: self.attempts.in_flight(),
         }));
         if self.orders.registration_state() == RegistrationState::Active {
             self.orders.stop(RegistrationState::Stopping);
--- a/components/agent/src/target_row.rs
+++ b/components/agent/src/target_row.rs
@@ -27,7 +27,7 @@
 use crate::event::Action;
 use crate::event::OperationId;
 use crate::limits::Limits;
-use crate::limits::RETRY_MS;
+use crate::limits::RETRY_PAUSE_MS;
 use crate::log_event::LogEvent;
 
 /// Result of a completed table call.
@@ -39,7 +39,7 @@
     Polled(Instant, Option<Order>),
     /// The rows were read for a write; the caller must supply the update. Holds the current target
     /// row.
-    Plan(Option<Box<Target>>),
+    WriteReady(Option<Box<Target>>),
     /// The update is committed. Holds the new target row, or `None` after a release.
     Written(Option<Box<Target>>),
     /// Registration was refused for good.
@@ -123,7 +123,7 @@
         self.call(now, Call::Poll(now), TableRequest::Read(keys), out);
     }
 
-    /// Reads the rows for a write; [`RowEvent::Plan`] follows.
+    /// Reads the rows for a write; [`RowEvent::WriteReady`] follows.
     pub fn begin_write(&mut self, now: Instant, out: &mut Vec<Action>) {
         let keys = self.write_keys();
         self.call(now, Call::ReadForWrite, TableRequest::Read(keys), out);
@@ -137,8 +137,8 @@
         ]
     }
 
-    /// Commits an update after [`RowEvent::Plan`]. Returns [`RowEvent::None`] while the commit is
-    /// in progress.
+    /// Commits an update after [`RowEvent::WriteReady`]. Returns [`RowEvent::None`] while the
+    /// commit is in progress.
     pub fn commit(
         &mut self,
         now: Instant,
@@ -158,8 +158,8 @@
                 let ChangeBody::Target { after, .. } = planned.change.body else {
                     return RowEvent::None;
                 };
-                let step = Call::Commit(Box::new(after));
-                self.call(now, step, TableRequest::Commit(planned.transaction), out);
+                let call = Call::Commit(Box::new(after));
+                self.call(now, call, TableRequest::Commit(planned.transaction), out);
                 RowEvent::None
             }
             // The rows already contain the update: an earlier commit succeeded but its reply was
@@ -182,10 +182,10 @@
         result: Result<TableReply, StoreError>,
         out: &mut Vec<Action>,
     ) -> RowEvent {
-        let Some((_, step)) = self.pending.take_if(|(at, _)| *at == operation) else {
+        let Some((_, call)) = self.pending.take_if(|(id, _)| *id == operation) else {
             return RowEvent::None;
         };
-        match (step, result) {
+        match (call, result) {
             (Call::Poll(began), Ok(TableReply::Rows(rows))) => self.on_poll(now, began, &rows, out),
             (Call::ReadForWrite, Ok(TableReply::Rows(rows))) => self.on_read(now, rows, out),
             (Call::Commit(after), Ok(TableReply::Commit(CommitOutcome::Committed(_)))) => {
@@ -256,7 +256,7 @@
         {
             return RowEvent::Superseded(other);
         }
-        RowEvent::Plan(target.map(Box::new))
+        RowEvent::WriteReady(target.map(Box::new))
     }
 
     /// Returns the incarnation of another process that owns the row; otherwise stores the row.
@@ -279,17 +279,17 @@
         detail: String,
         out: &mut Vec<Action>,
     ) {
-        self.retry_at = Some(now + RETRY_MS);
+        self.retry_at = Some(now + RETRY_PAUSE_MS);
         self.has_failed = true;
         out.push(Action::Log(LogEvent::TableFailed { step, detail }));
     }
 
-    fn call(&mut self, now: Instant, step: Call, request: TableRequest, out: &mut Vec<Action>) {
+    fn call(&mut self, now: Instant, call: Call, request: TableRequest, out: &mut Vec<Action>) {
         self.first_call_at.get_or_insert(now);
         self.retry_at = None;
         let operation = self.next_operation;
         self.next_operation += 1;
-        self.pending = Some((operation, step));
+        self.pending = Some((operation, call));
         out.push(Action::Table { operation, request });
     }
 
--- a/components/agent/tests/attempts/known.rs
+++ b/components/agent/tests/attempts/fixtures.rs
@@ -1,15 +1,15 @@
-//! Attempts by number, and the answers that the target gives them.
+//! Ids, idempotency and answers of the attempts used by the tests.
 
 use types::AttemptId;
 
-use crate::world::ATTEMPTS;
+use crate::world::ATTEMPT_COUNT;
 
-pub fn idempotent(attempt: usize) -> bool {
+pub fn is_idempotent(attempt: usize) -> bool {
     attempt % 4 == 3
 }
 
 pub fn id(attempt: usize) -> AttemptId {
-    // Two entries, and two attempts of each request.
+    // Two entries, with two attempts per request.
     let entry = 1 + (attempt as u64 / 4);
     AttemptId {
         request: types::ids::request_id(entry, 10 + (attempt as u64 / 2)),
@@ -18,9 +18,9 @@
 }
 
 pub fn index(id: AttemptId) -> usize {
-    (0..ATTEMPTS)
+    (0..ATTEMPT_COUNT)
         .find(|attempt| self::id(*attempt) == id)
-        .expect("a known attempt")
+        .expect("id of a test attempt")
 }
 
 pub fn answer(attempt: usize) -> Vec<u8> {
--- a/components/agent/tests/attempts/main.rs
+++ b/components/agent/tests/attempts/main.rs
@@ -1,6 +1,6 @@
-//! Attempts under random orders of dispatch, forbid, resume, cancel, credit and connection loss.
+//! Attempts under random sequences of dispatch, forbid, resume, cancel, credit and connection loss.
 
-mod known;
+mod fixtures;
 mod resumes;
 mod world;
 
@@ -13,8 +13,8 @@
 use types::ServiceKind;
 use wire::ToAgent;
 
-use crate::known::id;
-use crate::world::ATTEMPTS;
+use crate::fixtures::id;
+use crate::world::ATTEMPT_COUNT;
 use crate::world::INCARNATION;
 use crate::world::Step;
 use crate::world::World;
@@ -40,13 +40,13 @@
 }
 
 quickcheck! {
-    /// Guards against a second run of a non-idempotent attempt and against `not run` for one that
-    /// ran, whatever the order of dispatch, forbid, cancel, resume, lost connections and resends,
-    /// also when the memory of attempts overflows.
-    fn runs_no_non_idempotent_attempt_twice(steps: Vec<Step>, memory: u8, model: bool) -> bool {
+    /// Guards against a non-idempotent attempt that runs twice, or that is reported as not run
+    /// although it ran, for any order of dispatch, forbid, cancel, resume, connection loss and
+    /// retries, even when the attempt history overflows.
+    fn runs_no_non_idempotent_attempt_twice(steps: Vec<Step>, history: u8, model: bool) -> bool {
         let mut world = World::new(Limits {
             kind: kind(model),
-            history_limit: 1 + usize::from(memory % 8),
+            history_limit: 1 + usize::from(history % 8),
             kept_answer_limit_bytes: 40,
             kept_count_limit: 2,
             ..limits()
@@ -57,68 +57,72 @@
         true
     }
 
-    /// Guards against answers that are lost, cut or run again when connections to the engine break,
-    /// as long as the engine knows the runs.
-    fn relays_whole_answers_over_broken_connections_to_the_engine(breaks: Vec<u8>) -> bool {
+    /// Guards against answers that are lost, truncated or generated again when connections to an
+    /// engine that still knows the runs break.
+    fn relays_complete_answers_over_broken_engine_connections(broken_runs: Vec<u8>) -> bool {
         let mut world = World::new(Limits { kind: ServiceKind::Model, queue: 64, ..limits() });
-        for attempt in 0..ATTEMPTS {
+        for attempt in 0..ATTEMPT_COUNT {
             world.dispatch(0, attempt, 63);
         }
         for round in 0..4000_usize {
             let amount = u8::try_from(round % 251).expect("below 251");
-            let picked = breaks.get(round / 10);
-            if let Some(at) = picked && let Some(run) = world.pick(*at)
-                && world.known[world.runs[&run].attempt].resumes < 2
+            let picked = broken_runs.get(round / 10);
+            if let Some(at) = picked && let Some(run) = world.pick_run(*at)
+                && world.observed[world.runs[&run].attempt].resume_count < 2
             {
-                world.fail(*at, 2);
+                world.break_connection(*at, 2);
             }
             world.now += Duration::from_millis(1);
             world.event(Event::Tick);
-            world.progress(amount, amount);
-            for attempt in 0..ATTEMPTS {
+            world.advance_run(amount, amount);
+            for attempt in 0..ATTEMPT_COUNT {
                 world.credit(0, attempt, 1);
             }
         }
-        for attempt in 0..ATTEMPTS {
-            assert!(world.positions[0][attempt].ended, "attempt {attempt} was not answered");
-            assert_eq!(world.known[attempt].reached, 1, "attempt {attempt} ran again");
+        for attempt in 0..ATTEMPT_COUNT {
+            assert!(world.positions[0][attempt].has_ended, "attempt {attempt} was not answered");
+            assert_eq!(world.observed[attempt].started_runs, 1, "attempt {attempt} ran again");
         }
         true
     }
 
-    /// Guards against lost, repeated or foreign bytes: an entry that comes back on a new
-    /// connection gets the rest of its answer, whatever the credit and the resumptions before.
-    fn relays_whole_answers_over_any_resumption(steps: Vec<Step>) -> bool {
+    /// Guards against lost, duplicate or wrong bytes when an entry reconnects: it must get the rest
+    /// of its answer for any earlier credit and resumptions.
+    fn relays_complete_answers_after_any_resumption(steps: Vec<Step>) -> bool {
         let mut world = World::new(Limits { queue: 64, ..limits() });
-        for attempt in 0..ATTEMPTS {
+        for attempt in 0..ATTEMPT_COUNT {
             world.dispatch(0, attempt, 7);
         }
-        for (what, on, amount) in steps {
-            // One entry reads, and no time passes in which it could be given up.
-            let (what, on) = if matches!(what % 12, 0..=2 | 9) { (3, on) } else { (what, on) };
-            world.step((what, on % 8, amount), false);
+        for (operation, subject, amount) in steps {
+            // All steps use one entry, and the clock stays, so that no orphaned attempt expires.
+            let (operation, subject) = if matches!(operation % 12, 0..=2 | 9) {
+                (3, subject)
+            } else {
+                (operation, subject)
+            };
+            world.step((operation, subject % 8, amount), false);
         }
         world.connect(0);
-        for attempt in 0..ATTEMPTS {
+        for attempt in 0..ATTEMPT_COUNT {
             world.resume(0, attempt, 4096);
         }
         for round in 0..2000_u32 {
             let amount = u8::try_from(round % 251).expect("below 251");
-            world.progress(amount, amount);
-            for attempt in 0..ATTEMPTS {
+            world.advance_run(amount, amount);
+            for attempt in 0..ATTEMPT_COUNT {
                 world.credit(0, attempt, 1);
             }
         }
-        for attempt in 0..ATTEMPTS {
-            let is_whole = world.positions[0][attempt].ended;
-            assert!(is_whole, "attempt {attempt} was not answered in full");
+        for attempt in 0..ATTEMPT_COUNT {
+            let has_ended = world.positions[0][attempt].has_ended;
+            assert!(has_ended, "attempt {attempt} was not answered in full");
         }
         true
     }
 }
 
-/// Guards against a dispatch that is late on an abandoned connection and runs after its entry was
-/// told that the attempt is not here.
+/// Guards against a dispatch that arrives late on an abandoned connection and runs after its entry
+/// was told that the attempt did not run.
 #[test]
 fn rejects_dispatch_that_arrives_after_resume() {
     let mut world = World::new(limits());
@@ -127,16 +131,16 @@
     assert!(world.runs.is_empty());
 }
 
-/// Guards against an answer that another entry cannot get after the first one is gone.
+/// Guards against an answer that is lost when the entry that dispatched the attempt disconnects.
 #[test]
 fn keeps_non_idempotent_answer_for_another_entry() {
     let mut world = World::new(limits());
     world.dispatch(0, 0, 63);
     for _ in 0..40 {
-        world.progress(0, 9);
+        world.advance_run(0, 9);
         world.credit(0, 0, 9);
     }
-    assert!(world.positions[0][0].ended);
+    assert!(world.positions[0][0].has_ended);
     world.connect(0);
     world.message(
         1,
@@ -146,53 +150,59 @@
         },
     );
     world.resume(1, 0, 4096);
-    assert!(world.positions[1][0].ended);
+    assert!(world.positions[1][0].has_ended);
 }
 
-/// Guards against unbounded memory and against a forgotten attempt that is called not run.
+/// Guards against an unbounded history, and against an evicted attempt that is reported as new.
 #[test]
-fn calls_forgotten_attempts_unknown() {
-    let mut memory = agent::AttemptHistory::new(2);
+fn reports_attempts_beyond_the_history_limit_as_evicted() {
+    let mut history = agent::AttemptHistory::new(2);
     let attempt = |counter| AttemptId {
         request: types::ids::request_id(1, counter),
         number: 1,
     };
     for counter in 0..5 {
-        memory.record(attempt(counter), agent::Record::Started);
+        history.record(attempt(counter), agent::Record::Started);
     }
-    assert_eq!(memory.len(), 2);
-    assert_eq!(memory.lookup(attempt(0)), agent::Lookup::Evicted);
+    assert_eq!(history.len(), 2);
+    assert_eq!(history.lookup(attempt(0)), agent::Lookup::Evicted);
     assert_eq!(
-        memory.lookup(attempt(4)),
+        history.lookup(attempt(4)),
         agent::Lookup::Found(agent::Record::Started)
     );
-    assert_eq!(memory.lookup(attempt(9)), agent::Lookup::New);
+    assert_eq!(history.lookup(attempt(9)), agent::Lookup::New);
 }
 
-/// Guards against a full queue that turns urgent work away for work that can wait, and against
-/// a queue without a bound.
+/// Guards against a full queue that rejects work of high priority in favour of lower priority, and
+/// against a queue that exceeds its limit.
 #[test]
-fn gives_a_place_in_a_full_queue_to_more_urgent_work() {
+fn replaces_queued_work_by_work_of_higher_priority() {
     let mut world = World::new(Limits {
         concurrency: 1,
         queue: 1,
         ..limits()
     });
-    // The lowest bits of the last value are the priority; 0 is served first.
+    // The lowest two bits of the amount are the priority; 0 is the highest.
     world.dispatch(0, 0, 5 * 4 + 1);
     world.dispatch(0, 2, 5 * 4 + 2);
     assert_eq!(world.agent.in_flight(), 2);
     world.dispatch(0, 4, 5 * 4 + 2);
-    assert!(world.known[4].disclaimed, "no more urgent than what waits");
+    assert!(
+        world.observed[4].is_reported_not_run,
+        "accepted although its priority is not higher"
+    );
     world.dispatch(0, 6, 5 * 4 + 1);
-    assert!(world.known[2].disclaimed, "gave its place up");
+    assert!(
+        world.observed[2].is_reported_not_run,
+        "not replaced by work of higher priority"
+    );
     assert_eq!(world.agent.in_flight(), 2);
 }
 
-/// Guards against waiting work that a raised limit does not start, and against running work that
-/// a lowered one cuts.
+/// Guards against waiting work that does not start after the limit is raised, and against runs that
+/// are aborted when it is lowered.
 #[test]
-fn changes_the_number_of_runs_without_a_cut() {
+fn applies_a_new_concurrency_limit_without_aborting_runs() {
     let mut world = World::new(Limits {
         concurrency: 1,
         queue: 4,
@@ -208,20 +218,26 @@
     assert_eq!((world.runs.len(), world.agent.in_flight()), (2, 3));
 }
 
-/// Guards against an engine that never continues an answer and keeps the agent trying, which would
-/// hold up orders and the attempt's retry elsewhere.
+/// Guards against an agent that keeps sending resume requests to an engine that never continues the
+/// answer, which would block orders and the retry of the attempt at another target.
 #[test]
-fn gives_a_run_up_after_three_tries_to_resume_it() {
+fn fails_a_run_after_three_resume_requests() {
     let mut world = World::new(Limits {
         kind: ServiceKind::Model,
         ..limits()
     });
     world.dispatch(0, 0, 63);
     for _ in 0..8 {
-        world.fail(0, 2);
+        world.break_connection(0, 2);
         world.now += Duration::from_millis(500);
         world.event(Event::Tick);
     }
-    assert_eq!((world.known[0].reached, world.known[0].resumes), (1, 3));
+    assert_eq!(
+        (
+            world.observed[0].started_runs,
+            world.observed[0].resume_count
+        ),
+        (1, 3)
+    );
     assert_eq!(world.agent.in_flight(), 0);
 }
--- a/components/agent/tests/attempts/world.rs
+++ b/components/agent/tests/attempts/world.rs
@@ -1,4 +1,4 @@
-//! An agent beside a target that is driven step by step, with the checks of every message.
+//! Simulation of an agent, its target and entries, which checks every action of the agent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,58 +23,58 @@
 use wire::ToAgent;
 use wire::ToEntry;
 
-use crate::known::answer;
-use crate::known::id;
-use crate::known::idempotent;
-use crate::known::index;
+use crate::fixtures::answer;
+use crate::fixtures::id;
+use crate::fixtures::index;
+use crate::fixtures::is_idempotent;
 
 pub const INCARNATION: u64 = 11;
-pub const SLOTS: usize = 3;
-pub const ATTEMPTS: usize = 8;
+pub const SLOT_COUNT: usize = 3;
+pub const ATTEMPT_COUNT: usize = 8;
 pub const BODY: &[u8] = b"body";
 
-/// Random step: what, on what, how much.
+/// Random step: kind, subject, amount.
 pub type Step = (u8, u8, u8);
 
 #[derive(Default, Clone)]
 pub struct Position {
     pub received: u64,
-    pub allowed: u64,
-    pub ended: bool,
+    pub credit_limit: u64,
+    pub has_ended: bool,
 }
 
 pub struct Run {
     pub attempt: usize,
-    pub head: bool,
-    pub asked: bool,
-    pub sent: usize,
-    /// Asked for again after its connection was lost.
-    pub resumed: bool,
+    pub is_head_sent: bool,
+    pub is_read_pending: bool,
+    pub sent_bytes: usize,
+    /// Resumed after its connection was lost.
+    pub is_resumed: bool,
 }
 
 #[derive(Default, Clone)]
-pub struct Known {
-    /// Runs whose request reached the target.
-    pub reached: u32,
-    pub whole: bool,
-    /// Bytes that the agent has.
-    pub given: usize,
-    /// Times that the answer was asked for since the last byte.
-    pub resumes: u32,
-    /// An entry was told that it was not run.
-    pub disclaimed: bool,
+pub struct Observed {
+    /// Runs of this attempt whose request reached the target.
+    pub started_runs: u32,
+    pub is_complete: bool,
+    /// Bytes that the agent has received.
+    pub sent_bytes: usize,
+    /// Resume requests since the last byte.
+    pub resume_count: u32,
+    /// An entry was told that the attempt did not run.
+    pub is_reported_not_run: bool,
 }
 
-/// An agent beside a target that is driven step by step, and entries with one connection each.
+/// An agent, a target that is advanced step by step, and entries with one connection each.
 pub struct World {
     pub agent: Agent,
     pub now: Instant,
     pub rows: Rows,
-    pub connections: [u64; SLOTS],
+    pub connections: [u64; SLOT_COUNT],
     pub opened: u64,
     pub positions: Vec<Vec<Position>>,
     pub runs: BTreeMap<RunId, Run>,
-    pub known: Vec<Known>,
+    pub observed: Vec<Observed>,
 }
 
 impl World {
@@ -83,16 +83,16 @@
             agent: Agent::new(limits),
             now: Instant::now(),
             rows: Rows::default(),
-            connections: [0; SLOTS],
+            connections: [0; SLOT_COUNT],
             opened: 0,
-            positions: vec![vec![Position::default(); ATTEMPTS]; SLOTS],
+            positions: vec![vec![Position::default(); ATTEMPT_COUNT]; SLOT_COUNT],
             runs: BTreeMap::new(),
-            known: vec![Known::default(); ATTEMPTS],
+            observed: vec![Observed::default(); ATTEMPT_COUNT],
         };
         for _ in 0..4 {
             world.event(Event::Tick);
         }
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             world.connect(slot);
         }
         assert!(!world.agent.load().away, "registered");
@@ -111,52 +111,58 @@
                     Action::ReadEngineState => {
                         events.push(Event::EngineState(Ok(EngineState::default())));
                     }
-                    action => self.check(action),
+                    action => self.check_action(action),
                 }
             }
         }
     }
 
-    pub fn check(&mut self, action: Action) {
+    pub fn check_action(&mut self, action: Action) {
         match action {
             Action::Start {
                 run, attempt, work, ..
             } => {
                 let attempt = index(attempt);
-                assert_eq!(work.body, BODY, "the target gets the whole body");
-                if !idempotent(attempt) {
-                    assert_eq!(self.known[attempt].reached, 0, "ran twice");
-                    assert!(!self.known[attempt].disclaimed, "ran after `not run`");
+                assert_eq!(work.body, BODY, "incomplete request body");
+                if !is_idempotent(attempt) {
+                    assert_eq!(self.observed[attempt].started_runs, 0, "ran twice");
+                    assert!(
+                        !self.observed[attempt].is_reported_not_run,
+                        "ran after `not run`"
+                    );
                 }
-                self.known[attempt].reached += 1;
+                self.observed[attempt].started_runs += 1;
                 self.runs.insert(
                     run,
                     Run {
                         attempt,
-                        head: false,
-                        asked: false,
-                        sent: 0,
-                        resumed: false,
+                        is_head_sent: false,
+                        is_read_pending: false,
+                        sent_bytes: 0,
+                        is_resumed: false,
                     },
                 );
-                self.known[attempt].given = 0;
-                self.known[attempt].resumes = 0;
+                self.observed[attempt].sent_bytes = 0;
+                self.observed[attempt].resume_count = 0;
             }
             Action::Resume {
                 run,
                 attempt,
                 offset,
-            } => self.resumes(run, index(attempt), offset),
+            } => self.check_resume(run, index(attempt), offset),
             Action::Release { run } => {
-                assert!(self.runs.remove(&run).is_some(), "a run that goes on");
+                assert!(self.runs.remove(&run).is_some(), "released an unknown run");
             }
             Action::Read { run } => {
-                let run = self.runs.get_mut(&run).expect("a run that goes on");
-                assert!(run.head && !run.asked);
-                run.asked = true;
+                let run = self.runs.get_mut(&run).expect("a run in progress");
+                assert!(run.is_head_sent && !run.is_read_pending);
+                run.is_read_pending = true;
             }
             Action::Abort { run, attempt } => {
-                assert!(idempotent(index(attempt)), "a non-idempotent run was cut");
+                assert!(
+                    is_idempotent(index(attempt)),
+                    "a non-idempotent run was aborted"
+                );
                 self.runs.remove(&run);
             }
             Action::Close { connection } => {
@@ -169,14 +175,14 @@
                 message,
             } => {
                 if let Some(slot) = self.connections.iter().position(|at| *at == connection) {
-                    self.received(slot, message);
+                    self.check_message(slot, message);
                 }
             }
             _ => {}
         }
     }
 
-    pub fn received(&mut self, slot: usize, message: ToEntry) {
+    pub fn check_message(&mut self, slot: usize, message: ToEntry) {
         match message {
             ToEntry::Chunk {
                 attempt,
@@ -189,7 +195,10 @@
                 let from = usize::try_from(offset).expect("short");
                 assert_eq!(bytes, answer(attempt)[from..from + bytes.len()]);
                 position.received += bytes.len() as u64;
-                assert!(position.received <= position.allowed, "beyond the credit");
+                assert!(
+                    position.received <= position.credit_limit,
+                    "more bytes than the credit allows"
+                );
             }
             ToEntry::End {
                 attempt,
@@ -198,29 +207,35 @@
                 ..
             } => {
                 let attempt = index(attempt);
-                let mut whole = AnswerDigest::default();
-                whole.push(&answer(attempt));
-                assert!(self.known[attempt].whole, "the target has not finished");
-                assert_eq!((length, digest), (whole.length(), whole.digest()));
+                let mut expected = AnswerDigest::default();
+                expected.push(&answer(attempt));
+                assert!(
+                    self.observed[attempt].is_complete,
+                    "the target has not finished"
+                );
+                assert_eq!((length, digest), (expected.length(), expected.digest()));
                 let position = &mut self.positions[slot][attempt];
                 assert_eq!(position.received, length, "end before the last byte");
-                position.ended = true;
+                position.has_ended = true;
             }
-            ToEntry::Rejected { attempt, .. } => self.disclaim(index(attempt)),
+            ToEntry::Rejected { attempt, .. } => self.report_not_run(index(attempt)),
             ToEntry::Failed { run, .. } => assert_eq!(run, RunState::Unknown),
             ToEntry::Forbidden { attempt, outcome } => match outcome {
-                ForbidOutcome::NeverRun => self.disclaim(index(attempt)),
-                ForbidOutcome::Started => assert!(self.known[index(attempt)].reached > 0),
+                ForbidOutcome::NeverRun => self.report_not_run(index(attempt)),
+                ForbidOutcome::Started => assert!(self.observed[index(attempt)].started_runs > 0),
                 ForbidOutcome::Lost => {}
             },
             _ => {}
         }
     }
 
-    pub fn disclaim(&mut self, attempt: usize) {
-        if !idempotent(attempt) {
-            assert_eq!(self.known[attempt].reached, 0, "`not run` although it ran");
-            self.known[attempt].disclaimed = true;
+    pub fn report_not_run(&mut self, attempt: usize) {
+        if !is_idempotent(attempt) {
+            assert_eq!(
+                self.observed[attempt].started_runs, 0,
+                "`not run` although it ran"
+            );
+            self.observed[attempt].is_reported_not_run = true;
         }
     }
 
@@ -253,7 +268,7 @@
     pub fn dispatch(&mut self, slot: usize, attempt: usize, amount: u8) {
         let credit_bytes = u32::from(amount % 64);
         self.positions[slot][attempt] = Position {
-            allowed: u64::from(credit_bytes),
+            credit_limit: u64::from(credit_bytes),
             ..Position::default()
         };
         let part = if amount >= 192 { 2 } else { BODY.len() };
@@ -264,7 +279,7 @@
             needs: Loaded::default(),
             deadline_ms: Duration::from_secs(u64::from(amount % 8)),
             priority: amount % 4,
-            idempotent: idempotent(attempt),
+            idempotent: is_idempotent(attempt),
             credit_bytes,
             work: Work {
                 service: "portal".to_owned(),
@@ -287,7 +302,7 @@
     pub fn resume(&mut self, slot: usize, attempt: usize, credit_bytes: u32) {
         let position = &mut self.positions[slot][attempt];
         let offset = position.received;
-        position.allowed = offset + u64::from(credit_bytes);
+        position.credit_limit = offset + u64::from(credit_bytes);
         self.message(
             slot,
             ToAgent::Resume {
@@ -300,7 +315,7 @@
 
     pub fn credit(&mut self, slot: usize, attempt: usize, bytes: u32) {
         let position = &mut self.positions[slot][attempt];
-        position.allowed += u64::from(bytes);
+        position.credit_limit += u64::from(bytes);
         let received = position.received;
         self.message(
             slot,
@@ -312,53 +327,53 @@
         );
     }
 
-    /// Lets one run go on, as far as the agent has asked for.
-    pub fn progress(&mut self, pick: u8, amount: u8) {
-        let Some(run) = self.pick(pick) else {
+    /// Advances one run to its next event, if the agent has requested it.
+    pub fn advance_run(&mut self, pick: u8, amount: u8) {
+        let Some(run) = self.pick_run(pick) else {
             return;
         };
         let Some(state) = self.runs.get_mut(&run) else {
             return;
         };
-        let whole = answer(state.attempt);
-        let event = if !state.head {
-            state.head = true;
-            if state.resumed {
-                return self.rest(run);
+        let expected = answer(state.attempt);
+        let event = if !state.is_head_sent {
+            state.is_head_sent = true;
+            if state.is_resumed {
+                return self.resume_run(run);
             }
             TargetEvent::Head {
                 status: 200,
                 content_type: "text/plain".to_owned(),
                 headers: types::Headers::default(),
             }
-        } else if !state.asked {
+        } else if !state.is_read_pending {
             return;
-        } else if state.sent < whole.len() {
-            state.asked = false;
-            let next = (state.sent + 1 + usize::from(amount % 32)).min(whole.len());
-            let bytes = whole[state.sent..next].to_vec();
-            state.sent = next;
-            self.known[state.attempt].given = next;
-            self.known[state.attempt].resumes = 0;
+        } else if state.sent_bytes < expected.len() {
+            state.is_read_pending = false;
+            let next = (state.sent_bytes + 1 + usize::from(amount % 32)).min(expected.len());
+            let bytes = expected[state.sent_bytes..next].to_vec();
+            state.sent_bytes = next;
+            self.observed[state.attempt].sent_bytes = next;
+            self.observed[state.attempt].resume_count = 0;
             TargetEvent::Bytes(bytes)
         } else {
             let attempt = state.attempt;
-            self.known[attempt].whole = true;
+            self.observed[attempt].is_complete = true;
             self.runs.remove(&run);
             TargetEvent::End
         };
         self.event(Event::Target { run, event });
     }
 
-    pub fn pick(&self, pick: u8) -> Option<RunId> {
+    pub fn pick_run(&self, pick: u8) -> Option<RunId> {
         let count = self.runs.len().max(1);
         self.runs.keys().nth(usize::from(pick) % count).copied()
     }
 
-    pub fn step(&mut self, (what, on, amount): Step, faults: bool) {
-        let attempt = usize::from(on) % ATTEMPTS;
-        let slot = usize::from(on / 8) % SLOTS;
-        match what % 12 {
+    pub fn step(&mut self, (operation, subject, amount): Step, faults: bool) {
+        let attempt = usize::from(subject) % ATTEMPT_COUNT;
+        let slot = usize::from(subject / 8) % SLOT_COUNT;
+        match operation % 12 {
             0 | 1 => self.dispatch(slot, attempt, amount),
             2 => self.message(
                 slot,
@@ -387,9 +402,9 @@
                     attempt: id(attempt),
                 },
             ),
-            11 if faults && amount < 64 => self.fail(on, amount),
-            11 if faults && amount < 96 => self.contradict(on, amount),
-            _ => self.progress(on, amount),
+            11 if faults && amount < 64 => self.break_connection(subject, amount),
+            11 if faults && amount < 96 => self.fail_resume(subject, amount),
+            _ => self.advance_run(subject, amount),
         }
     }
 }
--- a/components/agent/tests/daemon/engine.rs
+++ b/components/agent/tests/daemon/engine.rs
@@ -1,4 +1,4 @@
-//! Connections between the agent and the engine that are lost in the middle of a stream.
+//! Loss of the connection between agent and engine during a stream.
 
 use std::time::Duration;
 
@@ -26,15 +26,15 @@
     number: 1,
 };
 
-async fn ask(entry: &mut Entry) {
+async fn dispatch_stream(entry: &mut Entry) {
     entry.wait_until_ready().await;
     let mut dispatch = dispatch(ATTEMPT, BODY, true);
     dispatch.credit_bytes = 1 << 20;
     entry.send(ToAgent::Dispatch(Box::new(dispatch))).await;
 }
 
-/// Reads to the end, or to the failure, or until there are `limit_bytes`.
-async fn read(
+/// Reads until the end, a failure or `limit_bytes`.
+async fn read_answer(
     entry: &mut Entry,
     bytes: &mut Vec<u8>,
     limit_bytes: usize,
@@ -55,40 +55,40 @@
                 smol::Timer::after(Duration::from_millis(50)).await;
             }
         }
-        // Keeps the connection from being taken for silent.
+        // Prevents the agent from closing the connection as silent.
         entry.send(ToAgent::Ping { nonce: 1 }).await;
     }
     None
 }
 
-/// Guards against a stream that is cut, or run again, when the connection to the engine goes
-/// silent for good.
+/// Guards against a stream that is truncated or generated again when the connection to the engine
+/// stalls permanently.
 #[test]
-fn resumes_a_stream_after_the_engine_connection_went_silent() {
+fn resumes_a_stream_after_the_engine_connection_stalled() {
     let engine = free_address();
     start_engine(EngineOptions {
         decode_rate: 100.0,
         ..EngineOptions::new(engine)
     });
-    let (control, near) = (free_address(), free_address());
+    let (control, forwarder_address) = (free_address(), free_address());
     std::thread::spawn(move || {
         standin::forwarder::run(&ForwarderOptions {
             control,
             link: vec![Link {
-                listen: near,
+                listen: forwarder_address,
                 target: engine,
             }],
         })
     });
-    let agent = start_agent(near, Vec::new());
+    let agent = start_agent(forwarder_address, Vec::new());
     smol::block_on(async {
         let mut entry = Entry::connect(agent).await;
-        ask(&mut entry).await;
+        dispatch_stream(&mut entry).await;
         let mut bytes = Vec::new();
-        assert_eq!(read(&mut entry, &mut bytes, 2000).await, None);
+        assert_eq!(read_answer(&mut entry, &mut bytes, 2000).await, None);
         let before = bytes.len();
         post(control, "/mode", r#"{"silence": "existing"}"#).await;
-        let end = read(&mut entry, &mut bytes, usize::MAX).await;
+        let end = read_answer(&mut entry, &mut bytes, usize::MAX).await;
         assert!(bytes.len() > before, "nothing was resumed");
         let mut digest = AnswerDigest::default();
         digest.push(&bytes);
@@ -100,8 +100,8 @@
     });
 }
 
-/// Guards against a second run, or a false `not run`, when the engine has given up a run and
-/// closed its connection.
+/// Guards against a second run, or a false report of `not-run`, when the engine has dropped a run
+/// and closed its connection.
 #[test]
 fn fails_as_unknown_when_the_engine_no_longer_knows_the_run() {
     let engine = free_address();
@@ -114,8 +114,8 @@
         let mut entry = Entry::connect(agent).await;
         entry.wait_until_ready().await;
         post(engine, "/faults", r#"{"cut_requests": 1}"#).await;
-        ask(&mut entry).await;
-        let end = read(&mut entry, &mut Vec::new(), usize::MAX).await;
+        dispatch_stream(&mut entry).await;
+        let end = read_answer(&mut entry, &mut Vec::new(), usize::MAX).await;
         let Some(Err((run, detail))) = end else {
             panic!("{end:?}");
         };
--- a/components/agent/tests/daemon/entry.rs
+++ b/components/agent/tests/daemon/entry.rs
@@ -1,4 +1,4 @@
-//! An entry's end of a connection to the agent.
+//! Client side of the session between an entry and the agent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Dispatches until the agent is ready, and returns the answer, granting little credit.
-    pub async fn ask(&mut self, request: u128, body: &str, stream: bool) -> (u16, Vec<u8>) {
+    /// Retries the dispatch until the agent is ready, and returns the answer. Grants little credit.
+    pub async fn complete(&mut self, request: u128, body: &str, stream: bool) -> (u16, Vec<u8>) {
         for number in 1.. {
             let attempt = AttemptId { request, number };
             self.send(ToAgent::Dispatch(Box::new(dispatch(attempt, body, stream))))
@@ -88,7 +88,7 @@
         loop {
             match self.next().await {
                 ToEntry::Rejected { reason, .. } => return Err(reason),
-                ToEntry::Head { status: at, .. } => status = at,
+                ToEntry::Head { status: code, .. } => status = code,
                 ToEntry::Chunk {
                     offset,
                     bytes: chunk,
--- a/components/agent/tests/daemon/main.rs
+++ b/components/agent/tests/daemon/main.rs
@@ -1,4 +1,4 @@
-//! The daemon on loopback, between an entry's connection and the stand-in engine.
+//! The daemon over loopback, between a test entry and the stand-in engine.
 
 mod engine;
 mod entry;
@@ -51,7 +51,7 @@
     .expect("one key")
 }
 
-/// Starts an engine that answers at once, and an agent.
+/// Starts an engine without delays, and an agent.
 fn start() -> (SocketAddr, SocketAddr) {
     let engine = free_address();
     let options = EngineOptions {
@@ -62,7 +62,7 @@
     (engine, start_agent(engine, Vec::new()))
 }
 
-/// Starts an engine on a thread of its own, which ends with the test process.
+/// Starts an engine on its own thread, which runs until the test process exits.
 fn start_engine(options: EngineOptions) {
     let engine = options.listen;
     std::thread::spawn(move || {
@@ -74,7 +74,7 @@
     });
 }
 
-/// Starts an agent on a thread of its own, with rows that are in the table beforehand.
+/// Starts an agent on its own thread, with the given rows in the table.
 fn start_agent(engine: SocketAddr, rows: Vec<Put>) -> SocketAddr {
     let agent = free_address();
     std::thread::spawn(move || {
@@ -112,9 +112,9 @@
     serde_json::from_slice(&answer.expect("answer").body).expect("JSON")
 }
 
-/// Guards against answers that are cut, mixed up or not the target's own on the whole path.
+/// Guards against answers that are truncated or relayed to the wrong request.
 #[test]
-fn relays_whole_and_own_answers_of_the_engine() {
+fn relays_complete_answers_to_the_right_requests() {
     let (engine, agent) = start();
     smol::block_on(async {
         let mut entry = Entry::connect(agent).await;
@@ -122,13 +122,13 @@
         for request in 1..20 {
             let prompt = format!("hut {request}");
             let body = format!(r#"{{"prompt": "{prompt}", "max_tokens": 40}}"#);
-            let (status, bytes) = entry.ask(request, &body, false).await;
+            let (status, bytes) = entry.complete(request, &body, false).await;
             assert_eq!(status, 200);
             let answer: serde_json::Value = serde_json::from_slice(&bytes).expect("JSON");
             assert_eq!(answer["choices"][0]["text"], answer_text(&prompt, 40));
 
             let body = format!(r#"{{"prompt": "{prompt}", "max_tokens": 40, "stream": true}}"#);
-            let (_, bytes) = entry.ask(1000 + request, &body, true).await;
+            let (_, bytes) = entry.complete(1000 + request, &body, true).await;
             let text = String::from_utf8(bytes).expect("UTF-8");
             let relayed: String = text
                 .split("\n\n")
@@ -145,9 +145,9 @@
     });
 }
 
-/// Guards against probes that are left unanswered, which would end new work for the target.
+/// Guards against unanswered probes, after which entries send the target no new work.
 #[test]
-fn answers_probes_with_its_load() {
+fn answers_probes_with_a_load_report() {
     let (_, agent) = start();
     smol::block_on(async {
         Entry::connect(agent).await;
@@ -175,9 +175,10 @@
     });
 }
 
-/// Guards against an answer that is cut, or run again, when a connection goes silent for good.
+/// Guards against an answer that is truncated or generated again when the entry's connection stalls
+/// permanently.
 #[test]
-fn resumes_a_stream_after_its_connection_went_silent() {
+fn resumes_a_stream_after_the_entry_connection_stalled() {
     let engine = free_address();
     let options = EngineOptions {
         decode_rate: 100.0,
@@ -185,12 +186,12 @@
     };
     start_engine(options);
     let agent = start_agent(engine, Vec::new());
-    let (control, near) = (free_address(), free_address());
+    let (control, forwarder_address) = (free_address(), free_address());
     std::thread::spawn(move || {
         standin::forwarder::run(&ForwarderOptions {
             control,
             link: vec![Link {
-                listen: near,
+                listen: forwarder_address,
                 target: agent,
             }],
         })
@@ -199,7 +200,7 @@
         while TcpStream::connect(control).await.is_err() {
             smol::Timer::after(Duration::from_millis(20)).await;
         }
-        let mut entry = Entry::connect(near).await;
+        let mut entry = Entry::connect(forwarder_address).await;
         entry.wait_until_ready().await;
         let attempt = AttemptId {
             request: 77,
@@ -218,7 +219,7 @@
         post(control, "/mode", r#"{"silence": "existing"}"#).await;
         smol::Timer::after(Duration::from_millis(300)).await;
 
-        let mut other = Entry::connect(near).await;
+        let mut other = Entry::connect(forwarder_address).await;
         other
             .send(ToAgent::Resume {
                 attempt,
@@ -249,10 +250,9 @@
     });
 }
 
-/// Guards against an engine that is left in another state than the one ordered after it crashed
-/// in the middle of the change.
+/// Guards against an engine that is not in the ordered state because it crashed during the change.
 #[test]
-fn repeats_an_order_that_the_engine_crashed_in() {
+fn repeats_an_order_after_the_engine_crashed_during_it() {
     let engine = free_address();
     let options = EngineOptions {
         away_ms: 300,
--- a/components/agent/tests/orders/engine.rs
+++ b/components/agent/tests/orders/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that obeys whatever reaches it, and fails on what must not happen.
+//! Simulated engine that executes every order it receives and asserts that orders are safe.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,19 +15,19 @@
 
 use crate::world::World;
 
-/// Engine that obeys whatever reaches it, and notes what must not happen.
+/// Engine that executes every order it receives.
 pub struct Engine {
     pub state: EngineState,
     pub change: Option<(Instant, Order)>,
     pub down_until: Option<Instant>,
     pub crash_in_change: bool,
-    /// Orders on their way whose answer is lost already.
-    pub late: Vec<(Instant, Order)>,
-    pub obeyed: Vec<Order>,
+    /// Orders that will arrive later, although their reply is lost already.
+    pub in_flight: Vec<(Instant, Order)>,
+    pub executed: Vec<Order>,
     pub runs: BTreeSet<RunId>,
 }
 
-pub fn initial() -> EngineState {
+pub fn initial_state() -> EngineState {
     EngineState {
         loaded: Loaded {
             model: "base".to_owned(),
@@ -39,49 +39,49 @@
 }
 
 impl World {
-    pub fn pass(&mut self, order: Order) -> OrderOutcome {
-        let fault = std::mem::take(&mut self.pass_fault);
+    pub fn receive_order(&mut self, order: Order) -> OrderOutcome {
+        let fault = std::mem::take(&mut self.order_fault);
         if self.engine.down_until.is_some() {
             return OrderOutcome::NotSent("refused".to_owned());
         }
         match fault % 5 {
             1 => OrderOutcome::Refused("not now".to_owned()),
             2 => {
-                self.obey(order);
+                self.execute(order);
                 OrderOutcome::Unanswered("lost".to_owned())
             }
             3 => OrderOutcome::Unanswered("lost".to_owned()),
             4 => {
                 let delay = u64::from(fault) * 10;
                 let due = self.now + Duration::from_millis(delay);
-                self.engine.late.push((due, order));
+                self.engine.in_flight.push((due, order));
                 OrderOutcome::Unanswered("lost".to_owned())
             }
             _ => {
-                self.obey(order);
+                self.execute(order);
                 OrderOutcome::Taken
             }
         }
     }
 
-    pub fn obey(&mut self, order: Order) {
+    pub fn execute(&mut self, order: Order) {
         if self.engine.down_until.is_some() {
             return;
         }
         assert!(self.engine.change.is_none(), "orders overlap");
-        assert!(self.engine.runs.is_empty(), "work was cut by an order");
-        if let Some(last) = self.engine.obeyed.last() {
-            assert!(order.number >= last.number, "orders went back");
-            assert!(order.fencing >= last.fencing, "fencing numbers went back");
+        assert!(self.engine.runs.is_empty(), "an order interrupted work");
+        if let Some(last) = self.engine.executed.last() {
+            assert!(order.number >= last.number, "order numbers decreased");
+            assert!(order.fencing >= last.fencing, "fencing numbers decreased");
         }
-        self.engine.obeyed.push(order.clone());
+        self.engine.executed.push(order.clone());
         self.engine.state.away = true;
         let takes = Duration::from_millis(u64::from(self.random(800)));
         self.engine.change = Some((self.now + takes, order));
     }
 
     pub fn crash(&mut self, down_ms: u64) {
-        self.engine.state = initial();
+        self.engine.state = initial_state();
         self.engine.change = None;
         self.engine.down_until = Some(self.now + Duration::from_millis(down_ms));
         for run in std::mem::take(&mut self.engine.runs) {
@@ -93,7 +93,7 @@
         }
     }
 
-    pub fn run_engine(&mut self) {
+    pub fn advance_engine(&mut self) {
         let now = self.now;
         self.engine.down_until.take_if(|until| now >= *until);
         if let Some((_, order)) = self.engine.change.take_if(|(until, _)| now >= *until) {
@@ -101,19 +101,19 @@
                 self.crash(700);
                 return;
             }
-            self.apply(&order);
+            self.complete_change(&order);
         }
-        let (due, later) = std::mem::take(&mut self.engine.late)
+        let (due, later) = std::mem::take(&mut self.engine.in_flight)
             .into_iter()
             .partition(|(at, _)| now >= *at);
-        self.engine.late = later;
+        self.engine.in_flight = later;
         let due: Vec<(Instant, Order)> = due;
         for (_, order) in due {
-            self.obey(order);
+            self.execute(order);
         }
     }
 
-    pub fn apply(&mut self, order: &Order) {
+    pub fn complete_change(&mut self, order: &Order) {
         let state = &mut self.engine.state;
         match &order.kind {
             OrderKind::LoadModel { model, version } => {
--- a/components/agent/tests/orders/main.rs
+++ b/components/agent/tests/orders/main.rs
@@ -1,4 +1,4 @@
-//! Orders under crashes, lost answers, table faults, newer orders and restarts of the agent.
+//! Orders under crashes, lost replies, table faults, newer orders and restarts of the agent.
 
 mod engine;
 mod world;
@@ -25,16 +25,16 @@
 use crate::world::World;
 
 quickcheck! {
-    /// Guards against conflicting, stale, overlapping or backward orders at the engine, against
-    /// work cut by an order, and against a target that never reaches the ordered state.
-    fn orders_never_go_back_overlap_or_cut_work(steps: Vec<Step>) -> bool {
+    /// Guards against conflicting, stale, overlapping or decreasing orders at the engine, against
+    /// work that an order interrupts, and against a target that never reaches the ordered state.
+    fn orders_never_decrease_overlap_or_interrupt_work(steps: Vec<Step>) -> bool {
         let mut world = World::new();
         world.wait(Duration::from_secs(1));
         for step in steps {
             world.step(step);
         }
         world.table_faults = 0;
-        world.pass_fault = 0;
+        world.order_fault = 0;
         for _ in 0..8 {
             world.finish_run();
             world.wait(Duration::from_secs(20));
@@ -54,15 +54,15 @@
     OrderKind::ChangeRole { role }
 }
 
-/// Guards against work that is cut off or taken on while an order waits for the target to empty.
+/// Guards against work that is interrupted, or accepted, while an order waits for running work.
 #[test]
-fn finishes_work_before_an_order_and_takes_none_meanwhile() {
+fn finishes_work_before_an_order_and_rejects_new_work() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
     world.dispatch(Loaded::default());
-    world.give(role(Role::Decode), false);
+    world.issue_order(role(Role::Decode), false);
     world.wait(Duration::from_secs(10));
-    assert!(world.engine.obeyed.is_empty());
+    assert!(world.engine.executed.is_empty());
     world.dispatch(Loaded::default());
     let last = world.messages.last();
     assert!(matches!(
@@ -78,7 +78,7 @@
     assert_eq!(world.target().map(|target| target.applied), Some(1));
 }
 
-/// Guards against work that reaches an engine which no longer has its model.
+/// Guards against work that is sent to an engine without the required model.
 #[test]
 fn rejects_work_for_a_model_that_is_not_loaded() {
     let mut world = World::new();
@@ -96,58 +96,59 @@
     ));
 }
 
-/// Guards against a killed agent's order that meets the order of the next run at the engine.
+/// Guards against an order of a killed agent that overlaps with one of its successor.
 #[test]
-fn waits_for_orders_of_the_last_run_to_settle() {
+fn waits_for_orders_of_the_previous_process_to_settle() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
     world.restart();
-    world.give(role(Role::Decode), false);
+    world.issue_order(role(Role::Decode), false);
     world.wait(SETTLE_MS.saturating_sub(Duration::from_millis(500)));
-    assert!(world.engine.obeyed.is_empty());
+    assert!(world.engine.executed.is_empty());
     world.wait(Duration::from_secs(5));
-    assert_eq!(world.engine.obeyed.len(), 1);
+    assert_eq!(world.engine.executed.len(), 1);
 }
 
-/// Guards against an order that counts as executed because the engine was in its state before,
-/// while the order itself is still on its way and would cut off the work of the next run.
+/// Guards against an order that is recorded as executed because the engine was in the ordered state
+/// before, while the order is still in flight and could interrupt work of the next process.
 #[test]
 fn records_no_order_that_may_still_be_on_its_way() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
-    world.pass_fault = 254;
+    world.order_fault = 254;
     let adapter = "never-loaded".to_owned();
-    world.give(OrderKind::UnloadAdapter { adapter }, false);
+    world.issue_order(OrderKind::UnloadAdapter { adapter }, false);
     world.wait(Duration::from_millis(2300));
-    assert!(world.engine.obeyed.is_empty());
+    assert!(world.engine.executed.is_empty());
     assert_eq!(world.target().map(|target| target.applied), Some(0));
     assert!(world.agent.load().away);
     world.wait(Duration::from_secs(8));
     assert_eq!(world.target().map(|target| target.applied), Some(1));
 }
 
-/// Guards against a repair that is passed although an order of the last run has made it: if this
-/// run is killed then, the next one takes work that the order on its way cuts off.
+/// Guards against a repeated order that is sent although an order of the previous process has
+/// already restored the state. If this process were killed then, its successor would accept work
+/// that the order in flight interrupts.
 #[test]
 fn passes_no_repair_to_an_engine_that_was_repaired_meanwhile() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
-    world.give(role(Role::Decode), false);
+    world.issue_order(role(Role::Decode), false);
     world.wait(Duration::from_secs(10));
     let order = world.order().expect("given");
     world.crash(100);
     world.restart();
     world.wait(Duration::from_secs(1));
     assert!(world.agent.load().away);
-    world.obey(order);
+    world.execute(order);
     world.wait(SETTLE_MS + Duration::from_secs(5));
-    assert_eq!(world.engine.obeyed.len(), 2);
+    assert_eq!(world.engine.executed.len(), 2);
     assert!(!world.agent.load().away);
 }
 
-/// Guards against two runs of an agent that both give orders or take work.
+/// Guards against two agent processes that both send orders or accept work for one target.
 #[test]
-fn ends_when_another_run_takes_the_target() {
+fn exits_when_another_process_registers_for_the_target() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
     world.dispatch(Loaded::default());
@@ -159,9 +160,9 @@
     };
     let value = serde_json::to_string(&row).expect("JSON");
     world.put(vec![(keys::target(TARGET), value)]);
-    world.give(role(Role::Decode), false);
+    world.issue_order(role(Role::Decode), false);
     world.wait(Duration::from_secs(5));
-    assert!(world.engine.obeyed.is_empty());
+    assert!(world.engine.executed.is_empty());
     world.dispatch(Loaded::default());
     assert!(matches!(
         world.messages.last(),
@@ -170,14 +171,14 @@
             ..
         })
     ));
-    assert_eq!(world.exit, None, "work in service goes on");
+    assert_eq!(world.exit, None, "exited before its work finished");
     world.finish_run();
     world.wait(Duration::from_secs(5));
     assert_eq!(world.exit, Some(ExitReason::Superseded));
     assert_eq!(world.target().map(|target| target.incarnation), Some(99));
 }
 
-/// Guards against a planned stop that cuts work off or leaves the row behind.
+/// Guards against a planned stop that interrupts work or does not release the target row.
 #[test]
 fn finishes_work_and_releases_its_row_when_stopped() {
     let mut world = World::new();
@@ -193,9 +194,10 @@
     assert_eq!(world.target().map(|target| target.incarnation), Some(0));
 }
 
-/// Reads of the table in this time, while entries probe each 500 ms and state these heads.
+/// Number of table reads in `s` seconds, while entries with these head revisions probe every 500
+/// ms.
 fn reads_while_probed(world: &mut World, sequence: &mut u64, heads: &[u64], s: u64) -> usize {
-    let before = world.reads;
+    let before = world.table_reads;
     for _ in 0..2 * s {
         *sequence += 1;
         for (entry, head) in (1..).zip(heads) {
@@ -207,13 +209,13 @@
         }
         world.wait(Duration::from_millis(500));
     }
-    world.reads - before
+    world.table_reads - before
 }
 
-/// Guards against polls that the table cannot take from a large fleet, and against an order that
-/// is found late when the entries that would announce it are gone or have lost the table.
+/// Guards against a poll rate that overloads the table in a large deployment, and against late
+/// discovery of an order when the entries that send hints fail or lose access to the table.
 #[test]
-fn reads_its_rows_rarely_only_while_two_current_entries_announce_orders() {
+fn polls_rarely_only_while_two_current_entries_send_hints() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
     let mut sequence = 0;
@@ -227,12 +229,12 @@
         });
     }
     assert!(reads_while_probed(&mut world, &mut sequence, &[9, 9], 30) <= 3);
-    world.give(role(Role::Decode), false);
-    // The read that the hint leads to fails.
+    world.issue_order(role(Role::Decode), false);
+    // The read triggered by the hint fails.
     world.table_faults = 1;
     world.message(ToAgent::OrderHint { number: 1 });
     reads_while_probed(&mut world, &mut sequence, &[9, 9], 4);
-    assert_eq!(world.engine.obeyed.len(), 1);
+    assert_eq!(world.engine.executed.len(), 1);
     for heads in [&[9, 0][..], &[9], &[]] {
         let reads = reads_while_probed(&mut world, &mut sequence, heads, 30);
         assert!(reads >= 14, "{reads} reads with {heads:?}");
@@ -241,24 +243,28 @@
     assert!(reads_while_probed(&mut world, &mut repeated, &[9, 9], 30) >= 14);
 }
 
-/// Guards against repeated hints of many entries that each cost a read of the table.
+/// Guards against a table read for each repeated hint of many entries.
 #[test]
-fn reads_nothing_for_a_hint_at_an_order_that_it_has_read() {
+fn ignores_hints_for_orders_that_were_read() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
     world.dispatch(Loaded::default());
-    world.give(role(Role::Decode), false);
+    world.issue_order(role(Role::Decode), false);
     world.wait(Duration::from_secs(3));
-    let before = world.reads;
+    let before = world.table_reads;
     for _ in 0..100 {
         world.message(ToAgent::OrderHint { number: 1 });
         world.wait(Duration::from_millis(20));
     }
-    assert!(world.reads <= before + 3, "{}", world.reads - before);
+    assert!(
+        world.table_reads <= before + 3,
+        "{}",
+        world.table_reads - before
+    );
 }
 
-/// Guards against cache events that are missed after a restart of the engine, because it numbers
-/// them from 1 again and the agent asks for those after the last number of its earlier run.
+/// Guards against missed cache events after a restart of the engine, which numbers its events from
+/// 1 again while the agent would ask for those after the last number received before.
 #[test]
 fn reads_cache_events_from_the_start_after_a_restart_of_the_engine() {
     let mut world = World::new();
--- a/components/agent/tests/orders/world.rs
+++ b/components/agent/tests/orders/world.rs
@@ -1,4 +1,4 @@
-//! An agent, its engine and the table in virtual time, with the checks where the effect is seen.
+//! Simulation of an agent, its engine and the table in virtual time.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 use wire::ToEntry;
 
 use crate::engine::Engine;
-use crate::engine::initial;
+use crate::engine::initial_state;
 
 pub const TARGET: &str = "engine-1";
 pub const SETTLE_MS: Duration = Duration::from_secs(3);
@@ -46,14 +46,14 @@
     pub now: Instant,
     pub rows: Rows,
     pub engine: Engine,
-    pub replies: Vec<(Instant, Action)>,
+    pub pending_actions: Vec<(Instant, Action)>,
     pub table_faults: u8,
-    pub pass_fault: u8,
-    pub jitter: u32,
+    pub order_fault: u8,
+    pub random_state: u32,
     pub requests: u64,
-    /// Reads of the table so far.
-    pub reads: usize,
-    /// Cache event after which the last read asked for more.
+    /// Table reads so far.
+    pub table_reads: usize,
+    /// Sequence number in the last request for cache events.
     pub cache_after: Option<u64>,
     pub messages: Vec<ToEntry>,
     pub exit: Option<ExitReason>,
@@ -77,20 +77,20 @@
             now: Instant::now(),
             rows: Rows::default(),
             engine: Engine {
-                state: initial(),
+                state: initial_state(),
                 change: None,
                 down_until: None,
                 crash_in_change: false,
-                late: Vec::new(),
-                obeyed: Vec::new(),
+                in_flight: Vec::new(),
+                executed: Vec::new(),
                 runs: BTreeSet::new(),
             },
-            replies: Vec::new(),
+            pending_actions: Vec::new(),
             table_faults: 0,
-            pass_fault: 0,
-            jitter: 1,
+            order_fault: 0,
+            random_state: 1,
             requests: 0,
-            reads: 0,
+            table_reads: 0,
             cache_after: None,
             messages: Vec::new(),
             exit: None,
@@ -98,11 +98,11 @@
     }
 
     pub fn random(&mut self, below: u32) -> u32 {
-        self.jitter = self
-            .jitter
+        self.random_state = self
+            .random_state
             .wrapping_mul(1_664_525)
             .wrapping_add(1_013_904_223);
-        (self.jitter >> 16) % below
+        (self.random_state >> 16) % below
     }
 
     pub fn target(&self) -> Option<Target> {
@@ -128,8 +128,8 @@
         }));
     }
 
-    /// Writes a new order, as an operator or planner does.
-    pub fn give(&mut self, kind: OrderKind, supersede: bool) {
+    /// Writes a new order, as an operator or the planner does.
+    pub fn issue_order(&mut self, kind: OrderKind, supersede: bool) {
         let Some(mut target) = self.target() else {
             return;
         };
@@ -163,9 +163,9 @@
 
     pub fn event(&mut self, event: Event) {
         for action in self.agent.handle(self.now, event) {
-            let reads = |request: &TableRequest| matches!(request, TableRequest::Read(_));
-            if matches!(&action, Action::Table { request, .. } if reads(request)) {
-                self.reads += 1;
+            let is_read = |request: &TableRequest| matches!(request, TableRequest::Read(_));
+            if matches!(&action, Action::Table { request, .. } if is_read(request)) {
+                self.table_reads += 1;
             }
             match action {
                 Action::Start { run, .. } => {
@@ -182,21 +182,25 @@
                     assert_eq!(order.number, row.number, "stale order");
                     assert_eq!(order.fencing, row.fencing, "fencing number not passed on");
                     let holder = self.target().map(|target| target.incarnation);
-                    assert_eq!(holder, Some(self.incarnation), "order of a lost target");
+                    assert_eq!(
+                        holder,
+                        Some(self.incarnation),
+                        "order of a process that is not registered"
+                    );
                     let delay = Duration::from_millis(u64::from(self.random(200)));
-                    self.replies
+                    self.pending_actions
                         .push((self.now + delay, Action::PassOrder(order)));
                 }
                 Action::Table { .. } | Action::ReadEngineState | Action::ReserveSlot { .. } => {
                     let delay = Duration::from_millis(u64::from(self.random(100)));
-                    self.replies.push((self.now + delay, action));
+                    self.pending_actions.push((self.now + delay, action));
                 }
                 _ => {}
             }
         }
     }
 
-    pub fn reply(&mut self, action: Action) {
+    pub fn carry_out(&mut self, action: Action) {
         let event = match action {
             Action::Table { operation, request } => {
                 let fault = self.table_faults % 4;
@@ -222,23 +226,26 @@
                 let wait = (wait > 0).then(|| Duration::from_millis(u64::from(wait) * 300));
                 Event::Slot(Ok(wait))
             }
-            Action::PassOrder(order) => Event::OrderPassed(self.pass(order)),
+            Action::PassOrder(order) => Event::OrderPassed(self.receive_order(order)),
             _ => return,
         };
         self.event(event);
     }
 
-    /// Lets time pass, with a tick every `TICK_MS`.
+    /// Advances the clock, with a tick every `TICK_MS`.
     pub fn wait(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.now += TICK_MS;
-            self.run_engine();
+            self.advance_engine();
             loop {
-                let due = self.replies.iter().position(|(at, _)| self.now >= *at);
-                let Some(place) = due else { break };
-                let (_, action) = self.replies.remove(place);
-                self.reply(action);
+                let due = self
+                    .pending_actions
+                    .iter()
+                    .position(|(at, _)| self.now >= *at);
+                let Some(index) = due else { break };
+                let (_, action) = self.pending_actions.remove(index);
+                self.carry_out(action);
             }
             self.event(Event::Tick);
         }
@@ -303,31 +310,31 @@
         }
     }
 
-    /// Kills the agent and starts another run of it.
+    /// Kills the agent and starts a new process.
     pub fn restart(&mut self) {
         self.incarnation += 1;
         self.agent = Agent::new(limits(self.incarnation));
         self.engine.runs.clear();
-        let sent = std::mem::take(&mut self.replies);
+        let sent = std::mem::take(&mut self.pending_actions);
         for (at, action) in sent {
-            // What the old run has written into the engine's socket still arrives.
+            // Orders that the old process has sent can still arrive.
             if let Action::PassOrder(order) = action {
-                self.engine.late.push((at, order));
+                self.engine.in_flight.push((at, order));
             }
         }
     }
 
-    pub fn step(&mut self, (what, on, amount): Step) {
-        match what % 12 {
+    pub fn step(&mut self, (operation, subject, amount): Step) {
+        match operation % 12 {
             0..=3 => self.wait(Duration::from_millis(u64::from(amount) * 10)),
-            4 => self.give(kind(on), amount < 64),
+            4 => self.issue_order(kind(subject), amount < 64),
             5 => {
-                self.give(kind(on), amount < 64);
+                self.issue_order(kind(subject), amount < 64);
                 let number = self.order().map_or(0, |order| order.number);
                 self.message(ToAgent::OrderHint { number });
             }
             6 => self.table_faults = amount,
-            7 => self.pass_fault = amount,
+            7 => self.order_fault = amount,
             8 if amount < 100 => self.crash(u64::from(amount) * 20),
             8 => self.engine.crash_in_change = true,
             9 if amount < 40 => self.restart(),
@@ -337,9 +344,9 @@
     }
 }
 
-fn kind(on: u8) -> OrderKind {
-    let name = if on >= 128 { "a" } else { "b" }.to_owned();
-    match on % 8 {
+fn kind(subject: u8) -> OrderKind {
+    let name = if subject >= 128 { "a" } else { "b" }.to_owned();
+    match subject % 8 {
         0 => OrderKind::LoadModel {
             model: name,
             version: "2".to_owned(),
