--- a/components/agent/src/attempt.rs
+++ b/components/agent/src/attempt.rs
@@ -41,7 +41,7 @@
     AwaitingHead,
     /// The next `Read` may be sent.
     Idle,
-    /// A `Read` is outstanding.
+    /// A `Read` was sent and has no reply yet.
     Outstanding,
 }
 
--- a/components/agent/src/attempts.rs
+++ b/components/agent/src/attempts.rs
@@ -116,7 +116,7 @@
             .any(|attempt| attempt.readers.iter().any(reads))
     }
 
-    /// Last attempt in the queue.
+    /// Attempt that a dispatch of higher priority would replace.
     pub(crate) fn last_queued(&self) -> Option<(Instant, AttemptId)> {
         self.queue.last().copied()
     }
--- a/components/agent/src/change.rs
+++ b/components/agent/src/change.rs
@@ -83,7 +83,6 @@
         }
     }
 
-    /// Enters a stage.
     pub fn enter(&mut self, now: Instant, stage: Stage) {
         self.stage = stage;
         self.entered_at = now;
--- a/components/agent/src/daemon/engine.rs
+++ b/components/agent/src/daemon/engine.rs
@@ -89,7 +89,7 @@
         serde_json::from_slice(&response.body).map_err(|error| format!("{path}: {error}"))
     }
 
-    /// Sends an order.
+    /// Sends an order. Outcomes differ in whether the order may have taken effect.
     pub async fn send_order(&self, order: &Order) -> OrderOutcome {
         let body = OrderBody {
             number: order.number,
--- a/components/agent/src/daemon/log.rs
+++ b/components/agent/src/daemon/log.rs
@@ -8,7 +8,6 @@
 
 use crate::log_event::LogEvent;
 
-/// Writes one event.
 pub fn write(logger: &Logger, event: &LogEvent) {
     let code = event.code();
     match event {
--- a/components/agent/src/daemon/runs.rs
+++ b/components/agent/src/daemon/runs.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// Starts a run.
+/// Sends the request of an attempt to the target.
 pub fn start(daemon: &Rc<Daemon>, run: RunId, attempt: AttemptId, priority: u8, work: Work) {
     let running = daemon.clone();
     spawn(daemon, run, move |permits| async move {
--- a/components/agent/src/event.rs
+++ b/components/agent/src/event.rs
@@ -120,7 +120,7 @@
 pub enum Event {
     /// An entry sent a probe. It sends hints about new orders while its head revision is not 0.
     Watched {
-        /// Incarnation of the entry.
+        /// Incarnation of the probing entry.
         entry: Incarnation,
         /// Increases with every probe of the entry.
         sequence: u64,
@@ -133,7 +133,7 @@
     Message {
         /// Connection that received it.
         connection: ConnectionId,
-        /// The message.
+        /// Message after decoding and authentication.
         message: ToAgent,
     },
     /// Either side closed a connection.
@@ -150,7 +150,7 @@
     },
     /// Progress of a run.
     Target {
-        /// The run.
+        /// Run that the event belongs to; ignored if it has ended.
         run: RunId,
         /// What happened.
         event: TargetEvent,
@@ -186,24 +186,24 @@
     Send {
         /// Connection to send on.
         connection: ConnectionId,
-        /// The message.
+        /// Message to queue; dropped if the connection is closed.
         message: ToEntry,
     },
     /// Closes a connection.
     Close {
-        /// The connection.
+        /// Connection to close; ignored if it is closed already.
         connection: ConnectionId,
     },
     /// Sends a datagram.
     Datagram {
         /// Destination.
         to: SocketAddr,
-        /// The datagram.
+        /// Datagram to encode; not retried if it is lost.
         datagram: Datagram,
     },
     /// Starts a run at the target. The head of the answer must be delivered without a `Read`.
     Start {
-        /// The run.
+        /// New run id, for later events and actions.
         run: RunId,
         /// Attempt that the run belongs to.
         attempt: AttemptId,
@@ -214,12 +214,12 @@
     },
     /// Requests the next bytes of the answer, or its end.
     Read {
-        /// The run.
+        /// Run with a delivered head and no other `Read` outstanding.
         run: RunId,
     },
     /// Requests the rest of an answer from the engine. Never starts a run.
     Resume {
-        /// New run id.
+        /// New run id; events of the previous one are ignored.
         run: RunId,
         /// Attempt that the run belongs to.
         attempt: AttemptId,
@@ -228,12 +228,12 @@
     },
     /// Stops reading the answer, without telling the engine to stop the run.
     Release {
-        /// The run.
+        /// Run to stop reading.
         run: RunId,
     },
     /// Ends a run and tells the engine to stop it.
     Abort {
-        /// The run.
+        /// Run to end.
         run: RunId,
         /// Attempt that the run belongs to.
         attempt: AttemptId,
@@ -260,7 +260,7 @@
     Table {
         /// Id to return with the result.
         operation: OperationId,
-        /// The request.
+        /// Request to pass to the table client.
         request: TableRequest,
     },
     /// Writes a log event.
--- a/components/agent/src/log_event.rs
+++ b/components/agent/src/log_event.rs
@@ -38,28 +38,28 @@
     },
     /// CS2101: execution of an order has begun.
     OrderStarted {
-        /// Number of the order.
+        /// Number of the order that was started.
         number: OrderNumber,
         /// Kind of the order, as debug text.
         kind: String,
     },
     /// CS2102: an order is being sent to the engine, for the first time or again.
     OrderSent {
-        /// Number of the order.
+        /// Number of the order that is sent.
         number: OrderNumber,
         /// Kind of the step sent, as debug text.
         kind: String,
     },
     /// CS2103: the engine did not accept an order, or its reply was lost.
     OrderFailed {
-        /// Number of the order.
+        /// Number of the order that failed.
         number: OrderNumber,
         /// Cause, as text.
         detail: String,
     },
     /// CS2104: an order has been executed and recorded in the target row.
     OrderExecuted {
-        /// Number of the order.
+        /// Number of the order that was recorded.
         number: OrderNumber,
     },
     /// CS2105: an order in progress was replaced by a newer one.
--- a/components/agent/src/target_row.rs
+++ b/components/agent/src/target_row.rs
@@ -96,7 +96,6 @@
         self.pending.is_none() && self.retry_at.is_none_or(|at| now >= at)
     }
 
-    /// Whether a poll is due.
     #[must_use]
     pub fn is_poll_due(&self, now: Instant) -> bool {
         // Retries a failed poll after the short interval, because a hint may have triggered it.
