--- a/components/entry/src/core/report.rs
+++ b/components/entry/src/core/report.rs
@@ -135,7 +135,7 @@
             json!({
                 "target": candidate.target,
                 "standing": format!("{:?}", candidate.standing),
-                "full": candidate.full,
+                "full": candidate.is_full,
                 "first_token_ms": candidate.estimate.first_token_ms(),
                 "total_ms": candidate.estimate.total_ms(),
                 "rank_ms": candidate.rank_ms,
--- a/components/routing/benches/choose.rs
+++ b/components/routing/benches/choose.rs
@@ -1,4 +1,4 @@
-//! Time of one routing decision by size of the fleet, and its slope.
+//! Time of a routing decision by fleet size, with its slope over the logarithm of the size.
 
 #![allow(clippy::cast_precision_loss, clippy::semicolon_if_nothing_returned)]
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use common::World;
+use common::Setup;
 use common::need;
 use divan::Bencher;
 use divan::black_box;
@@ -16,102 +16,102 @@
 use request::Router;
 
 const SIZES: [usize; 7] = [8, 16, 32, 64, 128, 256, 512];
-/// Decisions timed for one point of the slope.
+/// Decisions per timing.
 const DECISIONS: u32 = 20_000;
-/// Repetitions of a point; the fastest counts, since others were disturbed.
+/// Timings per fleet size. The fastest one is used, as other load on the machine only adds time.
 const REPETITIONS: usize = 15;
 
 fn main() {
     divan::main();
-    slope("without prefix", 0);
-    slope("with 20 cached pieces", 20);
+    print_slope("without prefix", 0);
+    print_slope("with 20 cached pieces", 20);
 }
 
-/// A loaded fleet whose targets hold prefixes, and a request for one of them.
-fn fleet(size: usize, pieces: u64) -> (World, Need) {
-    let mut world = World::new(size, 7);
-    world.now += Duration::from_secs(1);
-    let mut need = need(world.now, 40_000);
+/// Creates a fleet under load, in which every eighth target holds the prefixes of the request.
+fn loaded_fleet(size: usize, pieces: u64) -> (Setup, Need) {
+    let mut setup = Setup::new(size, 7);
+    setup.now += Duration::from_secs(1);
+    let mut need = need(setup.now, 40_000);
     need.prefixes = (1..=pieces).map(|piece| piece * 0x9E37_79B9).collect();
-    for at in 0..size {
-        world.probe(at);
-        let backlog = (at as u64 * 7_919) % 50_000;
-        world.report(at, |report| {
+    for index in 0..size {
+        setup.probe(index);
+        let backlog = (index as u64 * 7_919) % 50_000;
+        setup.report(index, |report| {
             report.running = 8;
             report.prefill_backlog_tokens = backlog;
             report.decode_backlog_tokens = 2_000;
         });
     }
-    for at in (0..size).step_by(8) {
+    for index in (0..size).step_by(8) {
         let attempt = types::AttemptId {
-            request: 1_000_000 + at as u128,
+            request: 1_000_000 + index as u128,
             number: 1,
         };
-        let name = world.targets[at].name.clone();
-        world.fleet.dispatched(world.now, &name, attempt, &need);
+        let name = setup.targets[index].name.clone();
+        setup.fleet.dispatched(setup.now, &name, attempt, &need);
     }
-    (world, need)
+    (setup, need)
 }
 
 #[divan::bench(args = SIZES)]
 fn choose(bencher: Bencher, size: usize) {
-    let (mut world, need) = fleet(size, 0);
-    bencher.bench_local(|| black_box(world.fleet.choose(world.now, &need, &[])));
+    let (mut setup, need) = loaded_fleet(size, 0);
+    bencher.bench_local(|| black_box(setup.fleet.choose(setup.now, &need, &[])));
 }
 
 #[divan::bench(args = SIZES)]
 fn choose_with_prefix(bencher: Bencher, size: usize) {
-    let (mut world, need) = fleet(size, 20);
-    bencher.bench_local(|| black_box(world.fleet.choose(world.now, &need, &[])));
+    let (mut setup, need) = loaded_fleet(size, 20);
+    bencher.bench_local(|| black_box(setup.fleet.choose(setup.now, &need, &[])));
 }
 
 #[divan::bench(args = SIZES)]
 fn load_report(bencher: Bencher, size: usize) {
-    let (mut world, _) = fleet(size, 0);
-    let mut at = 0;
+    let (mut setup, _) = loaded_fleet(size, 0);
+    let mut index = 0;
     bencher.bench_local(|| {
-        at = (at + 1) % size;
-        world.report(at, |_| {});
+        index = (index + 1) % size;
+        setup.report(index, |_| {});
     });
 }
 
-/// Prints the time by size, and the growth for each doubling of the fleet.
-fn slope(name: &str, pieces: u64) {
-    let points = SIZES.map(|size| (size, nanoseconds(size, pieces)));
+/// Prints the decision time by fleet size, and its growth per doubling of the size.
+fn print_slope(name: &str, pieces: u64) {
+    let points = SIZES.map(|size| (size, decision_ns(size, pieces)));
     println!("\nchoose {name}");
-    for (size, time) in points {
-        println!("  {size:>4} targets  {time:>7.0} ns");
+    for (size, ns) in points {
+        println!("  {size:>4} targets  {ns:>7.0} ns");
     }
     let mean_x = points
         .iter()
         .map(|(size, _)| (*size as f64).log2())
         .sum::<f64>()
         / 7.0;
-    let mean_y = points.iter().map(|(_, time)| time).sum::<f64>() / 7.0;
-    let (mut over, mut under) = (0.0, 0.0);
-    for (size, time) in points {
+    let mean_y = points.iter().map(|(_, ns)| ns).sum::<f64>() / 7.0;
+    let (mut covariance, mut variance) = (0.0, 0.0);
+    for (size, ns) in points {
         let x = (size as f64).log2() - mean_x;
-        over += x * (time - mean_y);
-        under += x * x;
+        covariance += x * (ns - mean_y);
+        variance += x * x;
     }
     println!(
-        "  slope {:.0} ns for each doubling; 512 targets take {:.2} times as long as 8 \
+        "  slope {:.0} ns per doubling; 512 targets take {:.2} times as long as 8 \
          (the logarithm grows 3.00 times)",
-        over / under,
+        covariance / variance,
         points[6].1 / points[0].1
     );
 }
 
-fn nanoseconds(size: usize, pieces: u64) -> f64 {
-    let (mut world, need) = fleet(size, pieces);
-    let mut time = || {
-        let begin = Instant::now();
+fn decision_ns(size: usize, pieces: u64) -> f64 {
+    let (mut setup, need) = loaded_fleet(size, pieces);
+    let mut time_ns = || {
+        let start = Instant::now();
         for _ in 0..DECISIONS {
-            black_box(world.fleet.choose(world.now, &need, &[]));
+            black_box(setup.fleet.choose(setup.now, &need, &[]));
         }
-        begin.elapsed().as_secs_f64() * 1e9 / f64::from(DECISIONS)
+        start.elapsed().as_secs_f64() * 1e9 / f64::from(DECISIONS)
     };
     (0..REPETITIONS)
-        .map(|_| time())
+        .map(|_| time_ns())
         .fold(f64::INFINITY, f64::min)
 }
--- a/components/routing/src/cache.rs
+++ b/components/routing/src/cache.rs
@@ -1,9 +1,10 @@
-//! Index of the prefix pieces that targets hold: a hint, never relied on.
+//! Approximate index of the prefix pieces in the caches of targets.
 //!
-//! Cache events come late and with gaps, so the index is also fed by what was dispatched and
-//! corrected by the usage that answers report. Memory is bounded by two generations of fixed size:
-//! when the young one is full it becomes the old one, and what was old is forgotten unless it
-//! was used again.
+//! A piece is a block of `piece_tokens` prompt tokens, identified by the hash of the prompt up to
+//! its end. Cache events arrive late and with gaps, so the index is also updated on dispatch, and
+//! the token usage in answers corrects for its errors. Memory is bounded by two generations of
+//! fixed size: when the young one is full it replaces the old one, whose pairs are dropped unless
+//! they were stored again in the meantime.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -12,29 +13,29 @@
 
 use smallvec::SmallVec;
 
-/// Most holders that are listed for one prefix; more holders than this need no list, since
-/// random samples find them.
+/// Maximum number of holders listed for a prefix. A prefix with more holders is likely to be held
+/// by a randomly sampled target.
 const HOLDERS_LIMIT: usize = 8;
 
-/// Holder of pieces: one run of one target.
+/// Run of a target whose prefix cache holds pieces; a restart gives a new holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Holder(u64);
 
 impl Holder {
-    /// The run of the target at a position in the fleet.
+    /// Identifies a run of the target at a position in [`crate::Fleet`].
     #[must_use]
     pub fn new(position: usize, run: u32) -> Self {
         Self(((position as u64) << 32) | u64::from(run))
     }
 
-    /// Position in the fleet.
+    /// Position of the target in [`crate::Fleet`].
     #[must_use]
     pub fn position(self) -> usize {
         usize::try_from(self.0 >> 32).unwrap_or(usize::MAX)
     }
 }
 
-/// Keys are hashes already; only the holder has to be mixed in.
+/// Hasher for keys that are hashes already; it only mixes in the holder.
 #[derive(Debug, Default, Clone)]
 struct KeyHasher(u64);
 
@@ -65,7 +66,7 @@
     holders: Map<u64, Holders>,
 }
 
-/// Which target holds which prefix pieces, as far as is known.
+/// Pairs of prefix piece and holder, with the newest pairs in `young`.
 #[derive(Debug)]
 pub struct PrefixIndex {
     limit: usize,
@@ -74,7 +75,7 @@
 }
 
 impl PrefixIndex {
-    /// Holds at most `limit` pairs of prefix and holder.
+    /// Creates an index of at most `limit` pairs of prefix and holder.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -84,25 +85,25 @@
         }
     }
 
-    /// Pairs held.
+    /// Number of pairs of prefix and holder.
     #[must_use]
     pub fn len(&self) -> usize {
         self.young.pairs.len() + self.old.pairs.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether the index has no pairs.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether the holder is thought to have the piece.
+    /// Whether the holder is expected to have the piece in its cache.
     #[must_use]
     pub fn holds(&self, prefix: u64, holder: Holder) -> bool {
         self.young.pairs.contains(&(prefix, holder)) || self.old.pairs.contains(&(prefix, holder))
     }
 
-    /// Notes that the holder has the piece.
+    /// Records that the holder has the piece in its cache.
     pub fn stored(&mut self, prefix: u64, holder: Holder) {
         if self.young.pairs.contains(&(prefix, holder)) {
             return;
@@ -119,7 +120,7 @@
         holders.push(holder);
     }
 
-    /// Notes that the holder no longer has the piece.
+    /// Records that the holder has evicted the piece.
     pub fn evicted(&mut self, prefix: u64, holder: Holder) {
         for generation in [&mut self.young, &mut self.old] {
             if !generation.pairs.remove(&(prefix, holder)) {
@@ -134,22 +135,22 @@
         }
     }
 
-    /// Number of leading pieces that the holder is thought to have.
+    /// Number of leading pieces that the holder is expected to have.
     ///
-    /// Engines evict the ends of prefixes first, so the count is found by bisection.
+    /// Engines evict the last pieces of a prefix first, so a binary search finds the count.
     #[must_use]
-    pub fn matched(&self, prefixes: &[u64], holder: Holder) -> usize {
+    pub fn matched_pieces(&self, prefixes: &[u64], holder: Holder) -> usize {
         prefixes.partition_point(|prefix| self.holds(*prefix, holder))
     }
 
-    /// Holders of the longest match, a bounded number of them.
+    /// Up to `2 * HOLDERS_LIMIT` holders of the longest matching prefix.
     #[must_use]
     pub fn best_holders(&self, prefixes: &[u64]) -> SmallVec<[Holder; 2 * HOLDERS_LIMIT]> {
         let length = prefixes.partition_point(|prefix| {
             self.young.holders.contains_key(prefix) || self.old.holders.contains_key(prefix)
         });
         let mut found = SmallVec::new();
-        let Some(last) = length.checked_sub(1).map(|at| prefixes[at]) else {
+        let Some(last) = length.checked_sub(1).map(|position| prefixes[position]) else {
             return found;
         };
         for generation in [&self.young, &self.old] {
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -1,4 +1,4 @@
-//! The decision itself, and the account of what was sent.
+//! Implementation of [`Router`]: target selection and tracking of attempts in flight.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,15 +15,15 @@
 use crate::estimate::Estimate;
 use crate::estimate::Job;
 use crate::fleet::Fleet;
-use crate::fleet::Sent;
+use crate::fleet::InFlight;
 use crate::load::Size;
 use crate::member::PRIORITIES;
 use crate::member::Standing;
 
-/// Shortest time until a request that no target can finish in time is worth a resend.
+/// Minimum retry delay of a request that no target can complete by its deadline.
 const INFEASIBLE_RETRY_MS: f64 = 1_000.0;
 
-/// One candidate that could take the request.
+/// Candidate for a request, with the estimate it is ranked by.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Ranked {
     pub member: usize,
@@ -35,7 +35,7 @@
 
 impl Router for Fleet {
     fn choose(&mut self, now: Instant, need: &Need, exclude: &[TargetName]) -> Choice {
-        let Some(pool) = self.services.get(&need.service).copied() else {
+        let Some(pool) = self.pools_by_service.get(&need.service).copied() else {
             return Choice::Never;
         };
         let mut best = self.best(now, need, pool, exclude);
@@ -43,34 +43,34 @@
             best = self.best(now, need, pool, &[]);
         }
         let Some(best) = best else {
-            return self.without_candidate(now, need, pool);
+            return self.choice_without_candidate(now, need, pool);
         };
         let finish_ms = best.estimate.total_ms() * self.correction(pool, need.priority);
         let left_ms = need.deadline.saturating_duration_since(now).as_secs_f64() * 1e3;
         if self.settings.mechanisms.feasibility && finish_ms > left_ms {
             let retry_ms = (finish_ms - left_ms).max(INFEASIBLE_RETRY_MS);
             return Choice::Infeasible {
-                retry_ms: millis(retry_ms),
+                retry_ms: duration_from_ms(retry_ms),
             };
         }
         let target = &self.members[best.member].target;
         Choice::Target {
             target: target.name.clone(),
             incarnation: target.incarnation,
-            finish_ms: millis(finish_ms),
+            finish_ms: duration_from_ms(finish_ms),
         }
     }
 
     fn dispatched(&mut self, now: Instant, target: &TargetName, attempt: AttemptId, need: &Need) {
-        let Some(at) = self.names.get(target).copied() else {
+        let Some(position) = self.positions.get(target).copied() else {
             return;
         };
-        let cached = self.cached_tokens(at, need);
-        let estimate_ms = self.ranked(now, need, at).estimate.total_ms();
-        let member = &mut self.members[at];
+        let hit_tokens = self.cached_tokens(position, need);
+        let estimate_ms = self.rank_member(now, need, position).estimate.total_ms();
+        let member = &mut self.members[position];
         let size = Size {
-            prefill_tokens: (f64::from(need.prompt_tokens) - cached).max(0.0),
-            decode_tokens: self.pools[member.pool].output_share * f64::from(need.max_output_tokens),
+            prefill_tokens: (f64::from(need.prompt_tokens) - hit_tokens).max(0.0),
+            decode_tokens: self.pools[member.pool].output_ratio * f64::from(need.max_output_tokens),
         };
         let priority = usize::from(need.priority).min(PRIORITIES - 1);
         member.outstanding += 1;
@@ -79,18 +79,18 @@
         for prefix in &need.prefixes {
             self.index.stored(*prefix, member.holder);
         }
-        let sent = Sent {
-            member: at,
+        let in_flight = InFlight {
+            member: position,
             incarnation: member.target.incarnation,
             priority,
             size,
-            cached_tokens: cached,
-            dispatched: now,
+            cached_tokens: hit_tokens,
+            dispatched_at: now,
             estimate_ms,
             prefixes: need.prefixes.clone(),
             max_output_tokens: need.max_output_tokens,
         };
-        self.sent.insert(attempt, sent);
+        self.in_flight.insert(attempt, in_flight);
     }
 
     fn settled(
@@ -100,33 +100,33 @@
         attempt: AttemptId,
         settlement: Settlement,
     ) {
-        let Some(sent) = self.sent.remove(&attempt) else {
+        let Some(in_flight) = self.in_flight.remove(&attempt) else {
             return;
         };
-        let member = &mut self.members[sent.member];
-        if member.target.incarnation != sent.incarnation {
+        let member = &mut self.members[in_flight.member];
+        if member.target.incarnation != in_flight.incarnation {
             return;
         }
         member.outstanding = member.outstanding.saturating_sub(1);
-        let prefill = &mut member.prefill_by_priority[sent.priority];
-        *prefill = (*prefill - sent.size.prefill_tokens).max(0.0);
+        let prefill = &mut member.prefill_by_priority[in_flight.priority];
+        *prefill = (*prefill - in_flight.size.prefill_tokens).max(0.0);
         member.load.settled(attempt);
         let pool = member.pool;
-        self.correct(now, pool, &sent, settlement);
+        self.update_correction(now, pool, &in_flight, settlement);
         match settlement {
-            Settlement::Answered(usage) => self.answered(&sent, usage),
-            Settlement::Failed => self.failed(now, sent.member),
-            Settlement::Rejected => self.forget_prefixes(&sent),
+            Settlement::Answered(usage) => self.record_success(&in_flight, usage),
+            Settlement::Failed => self.record_failure(now, in_flight.member),
+            Settlement::Rejected => self.remove_prefixes(&in_flight),
             Settlement::Cancelled => {}
         }
     }
 }
 
 impl Fleet {
-    /// Best of a random sample and the best cache match.
+    /// Lowest rank among the best cache matches and a random sample of the open members.
     ///
-    /// More candidates are drawn, up to a limit, while none of those drawn can take the request
-    /// in time. Only when none of them even has the needed model is the whole service searched.
+    /// Sampling continues up to `sample_limit` while no candidate is expected to meet the
+    /// deadline. If no sampled member has the required model, all open members are searched.
     fn best(
         &mut self,
         now: Instant,
@@ -136,43 +136,43 @@
     ) -> Option<Ranked> {
         let left_ms = need.deadline.saturating_duration_since(now).as_secs_f64() * 1e3
             / self.correction(pool, need.priority);
-        let mut best = self.best_match(now, need, pool, exclude);
-        let mut fitting = best.is_some();
+        let mut best = self.best_cache_match(now, need, pool, exclude);
+        let mut is_any_compatible = best.is_some();
         let mut drawn = 0;
-        // Draws without replacement by moving what was drawn to the front of the list.
+        // Samples without replacement: drawn members are swapped to the front of the list.
         while drawn < self.settings.sample_limit {
-            let in_time = best.is_some_and(|best| best.estimate.total_ms() <= left_ms);
-            if drawn >= self.settings.sample_count && in_time {
+            let is_in_time = best.is_some_and(|best| best.estimate.total_ms() <= left_ms);
+            if drawn >= self.settings.sample_count && is_in_time {
                 break;
             }
             let open = self.pools[pool].open.len();
             if drawn >= open {
                 break;
             }
-            let position = self.rng.random_range(drawn..open);
-            let at = self.pools[pool].open[position];
-            if self.members[at].standing(now, &self.settings) != Standing::Open {
-                self.close(at);
+            let open_position = self.rng.random_range(drawn..open);
+            let position = self.pools[pool].open[open_position];
+            if self.members[position].standing(now, &self.settings) != Standing::Open {
+                self.remove_from_open_list(position);
                 continue;
             }
-            self.swap_open(pool, drawn, position);
+            self.swap_open(pool, drawn, open_position);
             drawn += 1;
-            fitting |= self.members[at].fits(&need.needs);
-            let candidate = self.candidate(now, need, at, exclude);
-            best = better(best, candidate);
+            is_any_compatible |= self.members[position].is_compatible_with(&need.needs);
+            let candidate = self.candidate(now, need, position, exclude);
+            best = lower_rank(best, candidate);
         }
-        if fitting || drawn < self.settings.sample_limit {
+        if is_any_compatible || drawn < self.settings.sample_limit {
             return best;
         }
         (0..self.pools[pool].open.len())
-            .filter_map(|position| {
-                let at = self.pools[pool].open[position];
-                self.candidate(now, need, at, exclude)
+            .filter_map(|open_position| {
+                let position = self.pools[pool].open[open_position];
+                self.candidate(now, need, position, exclude)
             })
-            .fold(best, |best, candidate| better(best, Some(candidate)))
+            .fold(best, |best, candidate| lower_rank(best, Some(candidate)))
     }
 
-    fn best_match(
+    fn best_cache_match(
         &self,
         now: Instant,
         need: &Need,
@@ -190,44 +190,44 @@
                 member.holder == **holder && member.pool == pool
             })
             .filter_map(|holder| self.candidate(now, need, holder.position(), exclude))
-            .fold(None, |best, candidate| better(best, Some(candidate)))
+            .fold(None, |best, candidate| lower_rank(best, Some(candidate)))
     }
 
-    /// Ranks a member, unless it cannot take the request now.
+    /// Ranks a member; `None` if it cannot accept the request now.
     pub(crate) fn candidate(
         &self,
         now: Instant,
         need: &Need,
-        at: usize,
+        position: usize,
         exclude: &[TargetName],
     ) -> Option<Ranked> {
-        let member = &self.members[at];
+        let member = &self.members[position];
         let open = member.standing(now, &self.settings) == Standing::Open;
         if !open
-            || self.is_full(at, need)
-            || !member.fits(&need.needs)
+            || self.is_full(position, need)
+            || !member.is_compatible_with(&need.needs)
             || exclude.contains(&member.target.name)
         {
             return None;
         }
-        Some(self.ranked(now, need, at))
+        Some(self.rank_member(now, need, position))
     }
 
-    /// Whether this entry has as many requests of this kind on the target as it may.
-    pub(crate) fn is_full(&self, at: usize, need: &Need) -> bool {
-        self.members[at].outstanding >= need.concurrency_limit
+    /// Whether this entry's requests on the target have reached the concurrency limit.
+    pub(crate) fn is_full(&self, position: usize, need: &Need) -> bool {
+        self.members[position].outstanding >= need.concurrency_limit
     }
 
-    /// Ranks a member.
-    pub(crate) fn ranked(&self, now: Instant, need: &Need, at: usize) -> Ranked {
-        let member = &self.members[at];
+    /// Estimates the request on a member and computes its rank.
+    pub(crate) fn rank_member(&self, now: Instant, need: &Need, position: usize) -> Ranked {
+        let member = &self.members[position];
         let mechanisms = self.settings.mechanisms;
         let load = member.load.load(mechanisms.netting);
-        let cached_tokens = self.cached_tokens(at, need);
-        let saved = need.cache_affinity * cached_tokens;
+        let cached_tokens = self.cached_tokens(position, need);
+        let saved_tokens = need.cache_affinity * cached_tokens;
         let job = Job {
-            prefill_tokens: (f64::from(need.prompt_tokens) - saved).max(0.0),
-            decode_tokens: self.pools[member.pool].output_share * f64::from(need.max_output_tokens),
+            prefill_tokens: (f64::from(need.prompt_tokens) - saved_tokens).max(0.0),
+            decode_tokens: self.pools[member.pool].output_ratio * f64::from(need.max_output_tokens),
             backlog_share: member.backlog_share(need.priority),
         };
         let rates = self.settings.rates(member.target.role);
@@ -235,53 +235,53 @@
             ServiceKind::Model => Estimate::new(rates, &load, &job, member.one_way_ms),
             ServiceKind::Plain => Estimate {
                 slot_ms: load.requests,
-                distance_ms: 2.0 * member.one_way_ms.as_secs_f64() * 1e3,
+                network_ms: 2.0 * member.one_way_ms.as_secs_f64() * 1e3,
                 ..Estimate::default()
             },
         };
-        let plain = if mechanisms.estimate {
+        let base_rank = if mechanisms.estimate {
             let weight = if mechanisms.work {
                 self.settings.work_weight
             } else {
                 0.0
             };
-            // On an idle target nobody is delayed, on a full one everybody is.
-            let occupied = (load.requests / f64::from(rates.slots)).min(1.0);
-            estimate.total_ms() + weight * occupied * job.work_ms(rates)
+            // An idle target has no other requests to delay; on a full one all of them are delayed.
+            let occupancy = (load.requests / f64::from(rates.slots)).min(1.0);
+            estimate.total_ms() + weight * occupancy * job.engine_time_ms(rates)
         } else {
             load.requests + 1.0
         };
         Ranked {
-            member: at,
+            member: position,
             estimate,
             cached_tokens,
-            rank_ms: plain * member.slow_start(now, &self.settings),
+            rank_ms: base_rank * member.slow_start(now, &self.settings),
         }
     }
 
-    /// Factor by which requests of a priority take longer than estimated.
+    /// Mean ratio of actual to estimated time of a priority, at least 1.
     fn correction(&self, pool: usize, priority: u8) -> f64 {
-        let at = usize::from(priority).min(PRIORITIES - 1);
+        let priority_index = usize::from(priority).min(PRIORITIES - 1);
         if self.settings.mechanisms.correction {
-            self.pools[pool].corrections[at].max(1.0)
+            self.pools[pool].corrections[priority_index].max(1.0)
         } else {
             1.0
         }
     }
 
-    fn without_candidate(&self, now: Instant, need: &Need, pool: usize) -> Choice {
-        let could = |at: &usize| {
-            let member = &self.members[*at];
-            let gone = member.target.state == types::TargetState::Withdrawn;
-            !gone && member.fits(&need.needs)
+    fn choice_without_candidate(&self, now: Instant, need: &Need, pool: usize) -> Choice {
+        let is_eligible = |position: &usize| {
+            let member = &self.members[*position];
+            let is_withdrawn = member.target.state == types::TargetState::Withdrawn;
+            !is_withdrawn && member.is_compatible_with(&need.needs)
         };
-        if !self.pools[pool].members.iter().any(could) {
+        if !self.pools[pool].members.iter().any(is_eligible) {
             return Choice::Never;
         }
         let left = need.deadline.saturating_duration_since(now);
         if left.is_zero() {
             return Choice::Infeasible {
-                retry_ms: millis(INFEASIBLE_RETRY_MS),
+                retry_ms: duration_from_ms(INFEASIBLE_RETRY_MS),
             };
         }
         Choice::Wait {
@@ -290,25 +290,27 @@
     }
 
     #[allow(clippy::cast_precision_loss)]
-    fn cached_tokens(&self, at: usize, need: &Need) -> f64 {
+    fn cached_tokens(&self, position: usize, need: &Need) -> f64 {
         if !self.settings.mechanisms.cache {
             return 0.0;
         }
-        let pieces = self.index.matched(&need.prefixes, self.members[at].holder);
+        let pieces = self
+            .index
+            .matched_pieces(&need.prefixes, self.members[position].holder);
         let tokens = pieces as f64 * f64::from(self.settings.piece_tokens);
-        tokens.min(f64::from(need.prompt_tokens)) * self.members[at].cache_trust
+        tokens.min(f64::from(need.prompt_tokens)) * self.members[position].cache_hit_ratio
     }
 
     fn swap_open(&mut self, pool: usize, left: usize, right: usize) {
         let open = &mut self.pools[pool].open;
         open.swap(left, right);
         let (first, second) = (open[left], open[right]);
-        self.members[first].open_at = Some(left);
-        self.members[second].open_at = Some(right);
+        self.members[first].open_position = Some(left);
+        self.members[second].open_position = Some(right);
     }
 }
 
-fn better(best: Option<Ranked>, candidate: Option<Ranked>) -> Option<Ranked> {
+fn lower_rank(best: Option<Ranked>, candidate: Option<Ranked>) -> Option<Ranked> {
     match (best, candidate) {
         (Some(best), Some(candidate)) if candidate.rank_ms < best.rank_ms => Some(candidate),
         (None, candidate) => candidate,
@@ -316,6 +318,6 @@
     }
 }
 
-fn millis(value: f64) -> Duration {
+fn duration_from_ms(value: f64) -> Duration {
     Duration::try_from_secs_f64(value / 1e3).unwrap_or(Duration::MAX)
 }
--- a/components/routing/src/ejection.rs
+++ b/components/routing/src/ejection.rs
@@ -1,60 +1,62 @@
-//! Ejection of targets that fail.
+//! Outlier ejection: targets that fail repeatedly get no new work for a time.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Failures in a row after which a target is ejected.
+/// Consecutive failures after which a target is ejected.
 pub const CONSECUTIVE_FAILURES: u32 = 5;
-/// Outcomes that are remembered.
-pub const WINDOW: u32 = 20;
-/// Failures among the remembered outcomes after which a target is ejected.
-pub const WINDOW_FAILURES: u32 = WINDOW / 2;
-/// Duration of the first ejection; each further one lasts twice as long.
-pub const FIRST_MS: Duration = Duration::from_secs(5);
-/// Longest ejection.
-pub const LONGEST_MS: Duration = Duration::from_mins(1);
-
-/// Outcomes of one target and the ejection that follows from them.
+/// Number of latest outcomes that are kept.
+pub const OUTCOME_WINDOW: u32 = 20;
+/// Failures among the latest outcomes after which a target is ejected.
+pub const OUTCOME_WINDOW_FAILURES: u32 = OUTCOME_WINDOW / 2;
+/// Duration of the first ejection; doubles with each further one.
+pub const BASE_EJECTION_MS: Duration = Duration::from_secs(5);
+/// Maximum duration of an ejection.
+pub const MAX_EJECTION_MS: Duration = Duration::from_mins(1);
+
+/// Latest outcomes of a target and its current ejection.
 #[derive(Debug, Clone, Default)]
 pub struct Ejection {
-    outcomes: u32,
-    consecutive: u32,
-    times: u32,
+    /// One bit for each of the latest outcomes; set for a failure.
+    failure_bits: u32,
+    consecutive_failures: u32,
+    ejections: u32,
     until: Option<Instant>,
 }
 
 impl Ejection {
-    /// Notes a success.
+    /// Records a success. The duration starts from the base again after a window without failures.
     pub fn succeeded(&mut self) {
-        self.outcomes = (self.outcomes << 1) & ((1 << WINDOW) - 1);
-        self.consecutive = 0;
-        if self.outcomes == 0 {
-            self.times = 0;
+        self.failure_bits = (self.failure_bits << 1) & ((1 << OUTCOME_WINDOW) - 1);
+        self.consecutive_failures = 0;
+        if self.failure_bits == 0 {
+            self.ejections = 0;
         }
     }
 
-    /// Notes a failure; returns whether the target should be ejected.
+    /// Records a failure; returns whether the target should be ejected.
     pub fn failed(&mut self) -> bool {
-        self.outcomes = ((self.outcomes << 1) | 1) & ((1 << WINDOW) - 1);
-        self.consecutive += 1;
-        self.consecutive >= CONSECUTIVE_FAILURES || self.outcomes.count_ones() >= WINDOW_FAILURES
+        self.failure_bits = ((self.failure_bits << 1) | 1) & ((1 << OUTCOME_WINDOW) - 1);
+        self.consecutive_failures += 1;
+        self.consecutive_failures >= CONSECUTIVE_FAILURES
+            || self.failure_bits.count_ones() >= OUTCOME_WINDOW_FAILURES
     }
 
-    /// Ejects the target.
+    /// Ejects the target with the default durations.
     pub fn eject(&mut self, now: Instant) {
-        self.eject_within(now, FIRST_MS, LONGEST_MS);
+        self.eject_within(now, BASE_EJECTION_MS, MAX_EJECTION_MS);
     }
 
-    /// Ejects the target; the duration doubles from `first` with each time, up to `longest`.
-    pub fn eject_within(&mut self, now: Instant, first: Duration, longest: Duration) {
-        let duration = first.saturating_mul(1 << self.times.min(8));
-        self.until = Some(now + duration.min(longest));
-        self.times += 1;
-        self.consecutive = 0;
-        self.outcomes = 0;
+    /// Ejects the target for `base`, doubled for each earlier ejection, up to `max`.
+    pub fn eject_within(&mut self, now: Instant, base: Duration, max: Duration) {
+        let duration = base.saturating_mul(1 << self.ejections.min(8));
+        self.until = Some(now + duration.min(max));
+        self.ejections += 1;
+        self.consecutive_failures = 0;
+        self.failure_bits = 0;
     }
 
-    /// End of the ejection in force.
+    /// End of the current ejection; `None` if the target is not ejected.
     #[must_use]
     pub fn until(&self, now: Instant) -> Option<Instant> {
         self.until.filter(|until| *until > now)
--- a/components/routing/src/explain.rs
+++ b/components/routing/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a target was or would be chosen.
+//! Explains target selection to operators: the estimate and rank of each target of a service.
 
 use std::time::Instant;
 
@@ -9,48 +9,49 @@
 use crate::fleet::Fleet;
 use crate::member::Standing;
 
-/// One target of the service, with the estimate that it would be ranked by.
+/// Target of a service with the estimate used to rank it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Name.
+    /// Name of the target.
     pub target: TargetName,
-    /// Whether it takes new work, and if not, why.
+    /// Whether it accepts new work, and if not, why.
     pub standing: Standing,
-    /// It has the model, version and adapter that are needed.
-    pub fits: bool,
-    /// This entry has no more room for requests of this kind on it.
-    pub full: bool,
-    /// Prompt tokens thought to be in its prefix cache.
+    /// Whether it has loaded the required model, version and adapters.
+    pub is_compatible: bool,
+    /// Whether this entry's requests on it have reached the concurrency limit.
+    pub is_full: bool,
+    /// Prompt tokens expected in its prefix cache.
     pub cached_tokens: f64,
-    /// Parts of the estimated time to finish.
+    /// Estimated time to complete the request, by part.
     pub estimate: Estimate,
-    /// What candidates are compared by; lower is better.
+    /// Sort key of candidates; lower is better.
     pub rank_ms: f64,
 }
 
 impl Fleet {
-    /// The estimate of every target of the service, the best first.
+    /// Candidates of a service: usable ones first, then by ascending rank.
     #[must_use]
     pub fn explain(&self, now: Instant, need: &Need) -> Vec<Candidate> {
-        let Some(pool) = self.services.get(&need.service) else {
+        let Some(pool) = self.pools_by_service.get(&need.service) else {
             return Vec::new();
         };
-        let explained = |at: &usize| {
-            let member = &self.members[*at];
-            let ranked = self.ranked(now, need, *at);
+        let to_candidate = |position: &usize| {
+            let member = &self.members[*position];
+            let ranked = self.rank_member(now, need, *position);
             Candidate {
                 target: member.target.name.clone(),
                 standing: member.standing(now, &self.settings),
-                fits: member.fits(&need.needs),
-                full: self.is_full(*at, need),
+                is_compatible: member.is_compatible_with(&need.needs),
+                is_full: self.is_full(*position, need),
                 cached_tokens: ranked.cached_tokens,
                 estimate: ranked.estimate,
                 rank_ms: ranked.rank_ms,
             }
         };
-        let mut candidates: Vec<_> = self.pools[*pool].members.iter().map(explained).collect();
+        let mut candidates: Vec<_> = self.pools[*pool].members.iter().map(to_candidate).collect();
         candidates.sort_by(|a, b| {
-            let usable = |c: &Candidate| c.standing == Standing::Open && c.fits && !c.full;
+            let usable =
+                |c: &Candidate| c.standing == Standing::Open && c.is_compatible && !c.is_full;
             usable(b)
                 .cmp(&usable(a))
                 .then(a.rank_ms.total_cmp(&b.rank_ms))
--- a/components/routing/src/fleet.rs
+++ b/components/routing/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The targets that this entry knows, and what it is told of them.
+//! Routing state: the known targets and the events that update them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,44 +28,46 @@
 use crate::member::Standing;
 use crate::settings::Settings;
 
-/// Output expected at first, as a share of the upper bound that the caller states.
-const FIRST_OUTPUT_SHARE: f64 = 0.5;
+/// Expected ratio of output tokens to the requested maximum before the first answer.
+const INITIAL_OUTPUT_RATIO: f64 = 0.5;
 
-/// Targets of one service.
+/// Targets of a service.
 #[derive(Debug)]
 pub(crate) struct Pool {
+    /// Positions in [`Fleet::members`].
     pub members: Vec<usize>,
-    /// Members that were open when last looked at; closed ones are removed when met.
+    /// Members that were open at their last update. Selection removes those that no longer are.
     pub open: Vec<usize>,
-    pub output_share: f64,
-    /// Time taken over time estimated, by priority.
+    /// Mean ratio of output tokens to the requested maximum.
+    pub output_ratio: f64,
+    /// Mean ratio of actual to estimated time, by priority.
     pub corrections: [f64; PRIORITIES],
 }
 
-/// One attempt in flight.
+/// Attempt in flight.
 #[derive(Debug)]
-pub(crate) struct Sent {
+pub(crate) struct InFlight {
     pub member: usize,
     pub incarnation: Incarnation,
     pub priority: usize,
     pub size: Size,
     pub cached_tokens: f64,
-    pub dispatched: Instant,
+    pub dispatched_at: Instant,
     pub estimate_ms: f64,
     pub prefixes: Vec<u64>,
     pub max_output_tokens: u32,
 }
 
-/// What is known of one target, for the planner and the operators.
+/// State of a target as reported to the planner and to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetView {
-    /// Name.
+    /// Name of the target.
     pub name: TargetName,
-    /// Role in force.
+    /// Current role.
     pub role: Role,
-    /// Whether it takes new work.
+    /// Whether it accepts new work, and if not, why.
     pub standing: Standing,
-    /// Age of the last load report.
+    /// Age of the last load report; `None` before the first.
     pub report_age_ms: Option<Duration>,
     /// Requests in service or queued.
     pub requests: f64,
@@ -73,28 +75,28 @@
     pub prefill_tokens: f64,
     /// Output tokens still expected.
     pub decode_tokens: f64,
-    /// Last order executed.
+    /// Number of the last executed order.
     pub applied: u64,
 }
 
-/// The routing state of one entry.
+/// Routing state of an entry.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) settings: Settings,
     pub(crate) rng: SmallRng,
     pub(crate) members: Vec<Member>,
-    pub(crate) names: BTreeMap<TargetName, usize>,
+    pub(crate) positions: BTreeMap<TargetName, usize>,
     pub(crate) pools: Vec<Pool>,
-    pub(crate) services: BTreeMap<ServiceName, usize>,
+    pub(crate) pools_by_service: BTreeMap<ServiceName, usize>,
     pub(crate) index: PrefixIndex,
-    pub(crate) sent: HashMap<AttemptId, Sent>,
+    pub(crate) in_flight: HashMap<AttemptId, InFlight>,
     leaving_hosts: BTreeSet<HostName>,
-    runs: u32,
-    free: Vec<usize>,
+    run_counter: u32,
+    free_positions: Vec<usize>,
 }
 
 impl Fleet {
-    /// An empty fleet. Equal seeds and inputs give equal decisions.
+    /// Creates a fleet without targets. Equal seeds and inputs give equal decisions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
@@ -102,49 +104,49 @@
             settings,
             rng: SmallRng::seed_from_u64(seed),
             members: Vec::new(),
-            names: BTreeMap::new(),
+            positions: BTreeMap::new(),
             pools: Vec::new(),
-            services: BTreeMap::new(),
-            sent: HashMap::new(),
+            pools_by_service: BTreeMap::new(),
+            in_flight: HashMap::new(),
             leaving_hosts: BTreeSet::new(),
-            runs: 0,
-            free: Vec::new(),
+            run_counter: 0,
+            free_positions: Vec::new(),
         }
     }
 
-    /// A target's row is new or has changed. A row of an earlier run is ignored once a later run
-    /// has been announced by the same row.
+    /// Adds a target, or updates it from its changed row. A changed incarnation resets
+    /// the state that the previous run reported.
     pub fn target_set(&mut self, now: Instant, target: &Target) {
-        let pool = self.pool(&target.service);
-        let Some(at) = self.names.get(&target.name).copied() else {
-            let at = self.free.pop().unwrap_or(self.members.len());
-            let holder = self.new_holder(at);
+        let pool = self.pool_for(&target.service);
+        let Some(position) = self.positions.get(&target.name).copied() else {
+            let position = self.free_positions.pop().unwrap_or(self.members.len());
+            let holder = self.next_holder(position);
             let mut member = Member::new(target.clone(), pool, holder, &self.settings);
-            member.host_leaving = self.leaving_hosts.contains(&target.host);
-            if at == self.members.len() {
+            member.is_host_leaving = self.leaving_hosts.contains(&target.host);
+            if position == self.members.len() {
                 self.members.push(member);
             } else {
-                self.members[at] = member;
+                self.members[position] = member;
             }
-            self.names.insert(target.name.clone(), at);
-            self.pools[pool].members.push(at);
-            self.refresh(now, at);
+            self.positions.insert(target.name.clone(), position);
+            self.pools[pool].members.push(position);
+            self.update_open_list(now, position);
             return;
         };
-        let restarted = self.members[at].target.incarnation != target.incarnation;
-        let holder = self.new_holder(at);
-        let moved = self.members[at].pool != pool;
-        if moved {
-            self.close(at);
-            let old = self.members[at].pool;
-            self.pools[old].members.retain(|member| *member != at);
-            self.pools[pool].members.push(at);
+        let is_restarted = self.members[position].target.incarnation != target.incarnation;
+        let holder = self.next_holder(position);
+        let is_moved = self.members[position].pool != pool;
+        if is_moved {
+            self.remove_from_open_list(position);
+            let old = self.members[position].pool;
+            self.pools[old].members.retain(|member| *member != position);
+            self.pools[pool].members.push(position);
         }
-        let member = &mut self.members[at];
+        let member = &mut self.members[position];
         member.pool = pool;
-        member.one_way_ms = self.settings.distance(&target.place);
-        member.host_leaving = self.leaving_hosts.contains(&target.host);
-        if restarted {
+        member.one_way_ms = self.settings.one_way_latency(&target.place);
+        member.is_host_leaving = self.leaving_hosts.contains(&target.host);
+        if is_restarted {
             member.restart(target.incarnation, holder);
         }
         let reported = member
@@ -157,62 +159,64 @@
             member.target.loaded = loaded;
             member.target.applied = applied;
         }
-        self.refresh(now, at);
+        self.update_open_list(now, position);
     }
 
-    /// A target's row is gone.
+    /// Removes a target whose row was deleted or that this entry no longer uses.
     pub fn target_removed(&mut self, target: &str) {
-        let Some(at) = self.names.remove(target) else {
+        let Some(position) = self.positions.remove(target) else {
             return;
         };
-        self.close(at);
-        let pool = &mut self.pools[self.members[at].pool];
-        pool.members.retain(|member| *member != at);
-        self.members[at].target.state = TargetState::Withdrawn;
-        self.free.push(at);
+        self.remove_from_open_list(position);
+        let pool = &mut self.pools[self.members[position].pool];
+        pool.members.retain(|member| *member != position);
+        self.members[position].target.state = TargetState::Withdrawn;
+        self.free_positions.push(position);
     }
 
-    /// The host list says that a host is leaving.
+    /// Closes the targets of a host that the host list marks as leaving.
     pub fn host_leaving(&mut self, now: Instant, host: &str) {
         self.leaving_hosts.insert(host.to_owned());
-        self.host_changed(now, host, true);
+        self.set_host_leaving(now, host, true);
     }
 
-    /// The host list no longer says that a host is leaving. Absence from the list is no event.
+    /// Reopens the targets of a host that the host list marks as live again. A host that is missing
+    /// from the list keeps its state.
     pub fn host_live(&mut self, now: Instant, host: &str) {
         self.leaving_hosts.remove(host);
-        self.host_changed(now, host, false);
+        self.set_host_leaving(now, host, false);
     }
 
-    /// The agent of a target answered a probe, or sent any authenticated message.
+    /// Records that the agent of a target answered a probe or sent any authenticated message.
     pub fn probe_answered(&mut self, now: Instant, target: &str, incarnation: Incarnation) {
-        let Some(at) = self.current(target, incarnation) else {
+        let Some(position) = self.position_of_run(target, incarnation) else {
             return;
         };
-        self.members[at].probed = Some(now);
-        self.refresh(now, at);
+        self.members[position].probed_at = Some(now);
+        self.update_open_list(now, position);
     }
 
-    /// The connection to an agent is gone; new work waits for the next answered probe.
+    /// Records the loss of the connection to an agent; the target gets no new work until its agent
+    /// answers a probe.
     pub fn unreachable(&mut self, now: Instant, target: &str) {
-        let Some(at) = self.names.get(target).copied() else {
+        let Some(position) = self.positions.get(target).copied() else {
             return;
         };
-        self.members[at].probed = None;
-        self.refresh(now, at);
+        self.members[position].probed_at = None;
+        self.update_open_list(now, position);
     }
 
-    /// A load report came; stale ones are ignored.
+    /// Applies a load report; reports of another run or with an old sequence number are ignored.
     pub fn load_report(&mut self, now: Instant, target: &str, report: &LoadReport) {
-        let Some(at) = self.current(target, report.incarnation) else {
+        let Some(position) = self.position_of_run(target, report.incarnation) else {
             return;
         };
-        let member = &mut self.members[at];
+        let member = &mut self.members[position];
         if !member.load.report(now, report) {
             return;
         }
-        member.leaving = report.leaving;
-        let was_away = std::mem::replace(&mut member.away, report.away);
+        member.is_leaving = report.leaving;
+        let was_away = std::mem::replace(&mut member.is_away, report.away);
         if report.applied >= member.target.applied {
             member.target.role = report.role;
             member.target.applied = report.applied;
@@ -220,20 +224,21 @@
                 member.target.loaded.clone_from(&report.loaded);
             }
         }
-        // An engine comes back from a change or a crash with an empty cache.
+        // The cache of an engine is empty after a change or a crash.
         if was_away && !report.away {
-            self.members[at].holder = self.new_holder(at);
+            self.members[position].holder = self.next_holder(position);
         }
-        self.refresh(now, at);
+        self.update_open_list(now, position);
     }
 
-    /// Changes in a target's prefix cache. Events of another run or out of order are ignored;
-    /// after a gap the index keeps what it has and relies on the usage of answers.
+    /// Applies changes of a target's prefix cache to the index. Events of another run or out of
+    /// order are ignored. After a gap the index keeps its pairs; the usage reported in answers
+    /// corrects for those that are outdated.
     pub fn cache_events(&mut self, target: &str, incarnation: Incarnation, events: &[CacheEvent]) {
-        let Some(at) = self.current(target, incarnation) else {
+        let Some(position) = self.position_of_run(target, incarnation) else {
             return;
         };
-        let member = &mut self.members[at];
+        let member = &mut self.members[position];
         for event in events {
             if event.sequence <= member.cache_sequence {
                 continue;
@@ -247,14 +252,14 @@
         }
     }
 
-    /// What is known of the targets of a service, in order of registration.
+    /// State of the targets of a service, in order of registration.
     #[must_use]
     pub fn views(&self, now: Instant, service: &str) -> Vec<TargetView> {
-        let Some(pool) = self.services.get(service) else {
+        let Some(pool) = self.pools_by_service.get(service) else {
             return Vec::new();
         };
-        let view = |at: &usize| {
-            let member = &self.members[*at];
+        let view = |position: &usize| {
+            let member = &self.members[*position];
             let load = member.load.load(true);
             TargetView {
                 name: member.target.name.clone(),
@@ -270,96 +275,96 @@
         self.pools[*pool].members.iter().map(view).collect()
     }
 
-    /// What an attempt in flight is expected to cost its target.
+    /// Expected tokens of an attempt in flight.
     #[must_use]
     pub fn size_of(&self, attempt: AttemptId) -> Option<Size> {
-        self.sent.get(&attempt).map(|sent| sent.size)
+        self.in_flight.get(&attempt).map(|in_flight| in_flight.size)
     }
 
-    /// What a request would cost the target with the best cache match.
+    /// Expected tokens of a request on the target with the best cache match.
     #[must_use]
     pub fn size_for(&self, need: &Need) -> Size {
         let holders = self.index.best_holders(&need.prefixes);
         let matched = holders
             .iter()
-            .map(|holder| self.index.matched(&need.prefixes, *holder))
+            .map(|holder| self.index.matched_pieces(&need.prefixes, *holder))
             .max();
         let matched = u32::try_from(matched.unwrap_or(0)).unwrap_or(u32::MAX);
         let cached = matched.saturating_mul(self.settings.piece_tokens);
-        let pool = self.services.get(&need.service);
-        let share = pool.map_or(FIRST_OUTPUT_SHARE, |pool| self.pools[*pool].output_share);
+        let pool = self.pools_by_service.get(&need.service);
+        let ratio = pool.map_or(INITIAL_OUTPUT_RATIO, |pool| self.pools[*pool].output_ratio);
         Size {
             prefill_tokens: f64::from(need.prompt_tokens.saturating_sub(cached)),
-            decode_tokens: share * f64::from(need.max_output_tokens),
+            decode_tokens: ratio * f64::from(need.max_output_tokens),
         }
     }
 
-    /// Pairs in the prefix-cache index.
+    /// Number of pairs in the prefix-cache index.
     #[must_use]
     pub fn index_len(&self) -> usize {
         self.index.len()
     }
 
-    /// Lists or unlists a member as open after something about it changed.
-    pub(crate) fn refresh(&mut self, now: Instant, at: usize) {
-        let standing = self.members[at].standing(now, &self.settings);
-        let pool = self.members[at].pool;
+    /// Adds a member to the open list of its pool, or removes it, after a change of its state.
+    pub(crate) fn update_open_list(&mut self, now: Instant, position: usize) {
+        let standing = self.members[position].standing(now, &self.settings);
+        let pool = self.members[position].pool;
         if standing != Standing::Open {
-            self.close(at);
+            self.remove_from_open_list(position);
             return;
         }
-        let member = &mut self.members[at];
-        if member.open_at.is_some() {
+        let member = &mut self.members[position];
+        if member.open_position.is_some() {
             return;
         }
-        member.opened = Some(now);
-        member.open_at = Some(self.pools[pool].open.len());
-        self.pools[pool].open.push(at);
+        member.opened_at = Some(now);
+        member.open_position = Some(self.pools[pool].open.len());
+        self.pools[pool].open.push(position);
     }
 
-    /// Unlists a member.
-    pub(crate) fn close(&mut self, at: usize) {
-        let Some(position) = self.members[at].open_at.take() else {
+    /// Removes a member from the open list of its pool.
+    pub(crate) fn remove_from_open_list(&mut self, position: usize) {
+        let Some(open_position) = self.members[position].open_position.take() else {
             return;
         };
-        let open = &mut self.pools[self.members[at].pool].open;
-        open.swap_remove(position);
-        if let Some(moved) = open.get(position) {
-            self.members[*moved].open_at = Some(position);
+        let open = &mut self.pools[self.members[position].pool].open;
+        open.swap_remove(open_position);
+        if let Some(moved) = open.get(open_position) {
+            self.members[*moved].open_position = Some(open_position);
         }
     }
 
-    fn host_changed(&mut self, now: Instant, host: &str, leaving: bool) {
-        for at in 0..self.members.len() {
-            if self.members[at].target.host == host {
-                self.members[at].host_leaving = leaving;
-                self.refresh(now, at);
+    fn set_host_leaving(&mut self, now: Instant, host: &str, is_leaving: bool) {
+        for position in 0..self.members.len() {
+            if self.members[position].target.host == host {
+                self.members[position].is_host_leaving = is_leaving;
+                self.update_open_list(now, position);
             }
         }
     }
 
-    fn current(&self, target: &str, incarnation: Incarnation) -> Option<usize> {
-        let at = self.names.get(target).copied()?;
-        (self.members[at].target.incarnation == incarnation).then_some(at)
+    fn position_of_run(&self, target: &str, incarnation: Incarnation) -> Option<usize> {
+        let position = self.positions.get(target).copied()?;
+        (self.members[position].target.incarnation == incarnation).then_some(position)
     }
 
-    fn pool(&mut self, service: &str) -> usize {
-        if let Some(at) = self.services.get(service) {
-            return *at;
+    fn pool_for(&mut self, service: &str) -> usize {
+        if let Some(pool) = self.pools_by_service.get(service) {
+            return *pool;
         }
-        let at = self.pools.len();
-        self.services.insert(service.to_owned(), at);
+        let pool = self.pools.len();
+        self.pools_by_service.insert(service.to_owned(), pool);
         self.pools.push(Pool {
             members: Vec::new(),
             open: Vec::new(),
-            output_share: FIRST_OUTPUT_SHARE,
+            output_ratio: INITIAL_OUTPUT_RATIO,
             corrections: [1.0; PRIORITIES],
         });
-        at
+        pool
     }
 
-    fn new_holder(&mut self, at: usize) -> Holder {
-        self.runs = self.runs.wrapping_add(1);
-        Holder::new(at, self.runs)
+    fn next_holder(&mut self, position: usize) -> Holder {
+        self.run_counter = self.run_counter.wrapping_add(1);
+        Holder::new(position, self.run_counter)
     }
 }
--- a/components/routing/src/learn.rs
+++ b/components/routing/src/learn.rs
@@ -1,4 +1,4 @@
-//! What the ends of attempts teach about estimates, the cache index and failing targets.
+//! Feedback from completed attempts into estimates, the prefix-cache index and ejection.
 
 use std::time::Instant;
 
@@ -6,93 +6,100 @@
 use types::Usage;
 
 use crate::fleet::Fleet;
-use crate::fleet::Sent;
+use crate::fleet::InFlight;
 
-/// Weight of the newest answer in the mean share of the output bound that is used.
-const OUTPUT_SHARE_WEIGHT: f64 = 0.05;
-/// Weight of the newest answer in the share of the expected cached tokens that was found.
-const CACHE_TRUST_WEIGHT: f64 = 0.1;
-/// Least share of the expected cached tokens that is counted on, so that it can recover.
-const LEAST_CACHE_TRUST: f64 = 0.05;
-/// Weight of the newest answer in the mean of the time taken over the time estimated.
+/// Smoothing factor of the mean ratio of output tokens to the requested maximum.
+const OUTPUT_RATIO_WEIGHT: f64 = 0.05;
+/// Smoothing factor of the ratio of reported to expected cached tokens.
+const CACHE_HIT_RATIO_WEIGHT: f64 = 0.1;
+/// Lower bound of the ratio of reported to expected cached tokens; at 0 no hits would be expected
+/// and the ratio could not recover.
+const MIN_CACHE_HIT_RATIO: f64 = 0.05;
+/// Smoothing factor of the mean ratio of actual to estimated time.
 const CORRECTION_WEIGHT: f64 = 0.05;
-/// Largest time taken over the time estimated that is learned from.
-const LARGEST_CORRECTION: f64 = 8.0;
+/// Upper bound of one sample of the ratio of actual to estimated time.
+const MAX_CORRECTION: f64 = 8.0;
 
 impl Fleet {
-    /// Learns from the end of an attempt. Work that arrives later at a higher priority is not in
-    /// the estimate, so low priorities take longer under load.
-    pub(crate) fn correct(
+    /// Updates the correction factor of the attempt's priority. Estimates omit work that arrives
+    /// later at a higher priority, so under load low priorities take longer than estimated.
+    ///
+    /// A cancelled attempt gives only a lower bound of its time, so it can only raise the factor.
+    pub(crate) fn update_correction(
         &mut self,
         now: Instant,
         pool: usize,
-        sent: &Sent,
+        in_flight: &InFlight,
         settlement: Settlement,
     ) {
-        let elapsed_ms = now.saturating_duration_since(sent.dispatched).as_secs_f64() * 1e3;
-        let ratio = elapsed_ms / sent.estimate_ms.max(1.0);
-        let correction = &mut self.pools[pool].corrections[sent.priority];
-        let learns = match settlement {
+        let elapsed_ms = now
+            .saturating_duration_since(in_flight.dispatched_at)
+            .as_secs_f64()
+            * 1e3;
+        let ratio = elapsed_ms / in_flight.estimate_ms.max(1.0);
+        let correction = &mut self.pools[pool].corrections[in_flight.priority];
+        let is_sample = match settlement {
             Settlement::Answered(_) => true,
             Settlement::Cancelled => ratio > *correction,
             Settlement::Rejected | Settlement::Failed => false,
         };
-        if learns {
-            *correction += CORRECTION_WEIGHT * (ratio.min(LARGEST_CORRECTION) - *correction);
+        if is_sample {
+            *correction += CORRECTION_WEIGHT * (ratio.min(MAX_CORRECTION) - *correction);
         }
     }
 
-    pub(crate) fn answered(&mut self, sent: &Sent, usage: Usage) {
-        let member = &mut self.members[sent.member];
+    pub(crate) fn record_success(&mut self, in_flight: &InFlight, usage: Usage) {
+        let member = &mut self.members[in_flight.member];
         member.ejection.succeeded();
         if usage.is_known() {
-            self.learn(sent, usage);
+            self.update_averages(in_flight, usage);
         }
-        // The engine has just processed the whole prompt, so it holds all of its pieces now.
-        for prefix in &sent.prefixes {
-            self.index.stored(*prefix, self.members[sent.member].holder);
+        // The engine has just processed the whole prompt, so its cache holds all pieces of it.
+        for prefix in &in_flight.prefixes {
+            self.index
+                .stored(*prefix, self.members[in_flight.member].holder);
         }
     }
 
-    /// Takes the tokens that an answer used into the means that estimates are made with.
-    pub(crate) fn learn(&mut self, sent: &Sent, usage: Usage) {
-        let member = &mut self.members[sent.member];
-        if sent.max_output_tokens > 0 {
-            let share = f64::from(usage.output_tokens) / f64::from(sent.max_output_tokens);
-            let mean = &mut self.pools[member.pool].output_share;
-            *mean += OUTPUT_SHARE_WEIGHT * (share.min(1.0) - *mean);
+    /// Updates the averages behind the estimates with the token usage of an answer.
+    pub(crate) fn update_averages(&mut self, in_flight: &InFlight, usage: Usage) {
+        let member = &mut self.members[in_flight.member];
+        if in_flight.max_output_tokens > 0 {
+            let ratio = f64::from(usage.output_tokens) / f64::from(in_flight.max_output_tokens);
+            let mean = &mut self.pools[member.pool].output_ratio;
+            *mean += OUTPUT_RATIO_WEIGHT * (ratio.min(1.0) - *mean);
         }
-        if sent.cached_tokens >= 1.0 {
-            let expected = sent.cached_tokens / member.cache_trust;
-            let share = (f64::from(usage.cached_tokens) / expected).min(1.0);
-            member.cache_trust += CACHE_TRUST_WEIGHT * (share - member.cache_trust);
-            member.cache_trust = member.cache_trust.max(LEAST_CACHE_TRUST);
+        if in_flight.cached_tokens >= 1.0 {
+            let expected = in_flight.cached_tokens / member.cache_hit_ratio;
+            let ratio = (f64::from(usage.cached_tokens) / expected).min(1.0);
+            member.cache_hit_ratio += CACHE_HIT_RATIO_WEIGHT * (ratio - member.cache_hit_ratio);
+            member.cache_hit_ratio = member.cache_hit_ratio.max(MIN_CACHE_HIT_RATIO);
         }
     }
 
-    pub(crate) fn forget_prefixes(&mut self, sent: &Sent) {
-        let holder = self.members[sent.member].holder;
-        for prefix in &sent.prefixes {
+    pub(crate) fn remove_prefixes(&mut self, in_flight: &InFlight) {
+        let holder = self.members[in_flight.member].holder;
+        for prefix in &in_flight.prefixes {
             self.index.evicted(*prefix, holder);
         }
     }
 
-    pub(crate) fn failed(&mut self, now: Instant, at: usize) {
-        let due = self.members[at].ejection.failed();
-        if !due || !self.settings.mechanisms.ejection {
+    pub(crate) fn record_failure(&mut self, now: Instant, position: usize) {
+        let is_ejection_due = self.members[position].ejection.failed();
+        if !is_ejection_due || !self.settings.mechanisms.ejection {
             return;
         }
-        let pool = self.members[at].pool;
-        let ejected = |at: &usize| self.members[*at].ejection.until(now).is_some();
+        let pool = self.members[position].pool;
+        let is_ejected = |position: &usize| self.members[*position].ejection.until(now).is_some();
         let count = self.pools[pool]
             .members
             .iter()
-            .filter(|at| ejected(at))
+            .filter(|position| is_ejected(position))
             .count();
-        if (count + 1) * 2 > self.pools[pool].members.len() || ejected(&at) {
+        if (count + 1) * 2 > self.pools[pool].members.len() || is_ejected(&position) {
             return;
         }
-        self.members[at].ejection.eject(now);
-        self.refresh(now, at);
+        self.members[position].ejection.eject(now);
+        self.update_open_list(now, position);
     }
 }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! The choice of a target: membership, load model, prefix-cache index, estimates and ejection.
+//! Target selection: membership, load model, prefix-cache index, time estimates and ejection.
 //!
-//! [`Fleet`] implements [`request::Router`] without I/O. The entry reports what it learns through
-//! plain methods; time and the seed of all randomness are passed in, so that equal inputs give
-//! equal decisions. Nothing iterates over a hash map.
+//! [`Fleet`] implements [`request::Router`] without I/O. The entry reports events by method
+//! calls. The current time and the random seed are passed in and no hash map is iterated over, so
+//! that equal inputs give equal decisions.
 
 pub mod cache;
 pub mod choose;
--- a/components/routing/src/load.rs
+++ b/components/routing/src/load.rs
@@ -1,4 +1,4 @@
-//! Load of one target: its last report plus what was dispatched since.
+//! Load model of a target: its last report plus the dispatches that the report does not include.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,110 +7,112 @@
 use types::AttemptId;
 use types::LoadReport;
 
-/// A dispatch that no report has counted within this time was lost on the way.
-const UNSEEN_LIMIT_MS: Duration = Duration::from_secs(5);
+/// Time after which a dispatch that no report includes is considered lost.
+const UNREPORTED_TIMEOUT_MS: Duration = Duration::from_secs(5);
 
-/// Size of one dispatch, for load accounting.
+/// Expected tokens of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Size {
-    /// Prompt tokens that are not expected in the cache.
+    /// Prompt tokens not expected in the prefix cache.
     pub prefill_tokens: f64,
-    /// Output tokens expected.
+    /// Expected output tokens.
     pub decode_tokens: f64,
 }
 
 #[derive(Debug, Clone)]
-struct Unseen {
+struct Unreported {
     attempt: AttemptId,
-    ordinal: u64,
-    sent: Instant,
+    dispatch_number: u64,
+    dispatched_at: Instant,
     size: Size,
 }
 
-/// Load at one moment.
+/// Load at a point in time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
     /// Requests in service or queued.
     pub requests: f64,
-    /// Prompt tokens still to be processed.
+    /// Prompt tokens still to process.
     pub prefill_tokens: f64,
     /// Output tokens still expected.
     pub decode_tokens: f64,
 }
 
-/// Load model of one run of a target.
+/// Load model of a run of a target.
 #[derive(Debug, Clone, Default)]
 pub struct LoadModel {
     report: Option<LoadReport>,
-    reported: Option<Instant>,
-    dispatches: u64,
-    unseen: VecDeque<Unseen>,
-    unseen_size: Size,
+    measured_at: Option<Instant>,
+    dispatch_count: u64,
+    unreported: VecDeque<Unreported>,
+    unreported_size: Size,
 }
 
 impl LoadModel {
-    /// Takes a report unless it is stale; returns whether it was taken.
+    /// Applies a report unless it is stale; returns whether it was applied.
     ///
-    /// `received` counts the dispatches of the reader of the report. A dispatch that was lost, or
-    /// an entry that does not know its own count after a restart, is corrected as soon as
-    /// nothing is on the way.
+    /// `received` counts the dispatches that the target got from this entry. The count kept here
+    /// is wrong after a lost dispatch or a restart of the entry; it is reset to `received` as soon
+    /// as no dispatch is unreported.
     pub fn report(&mut self, now: Instant, report: &LoadReport) -> bool {
         if let Some(last) = &self.report
             && report.sequence <= last.sequence
         {
             return false;
         }
-        while let Some(first) = self.unseen.front() {
-            let seen = first.ordinal <= report.received;
-            let lost = now.saturating_duration_since(first.sent) > UNSEEN_LIMIT_MS;
-            if !seen && !lost {
+        while let Some(first) = self.unreported.front() {
+            let is_reported = first.dispatch_number <= report.received;
+            let is_lost =
+                now.saturating_duration_since(first.dispatched_at) > UNREPORTED_TIMEOUT_MS;
+            if !is_reported && !is_lost {
                 break;
             }
-            self.unseen.pop_front();
+            self.unreported.pop_front();
         }
-        if self.unseen.is_empty() {
-            self.dispatches = report.received;
+        if self.unreported.is_empty() {
+            self.dispatch_count = report.received;
         }
-        self.sum_unseen();
+        self.update_unreported_size();
         self.report = Some(report.clone());
-        self.reported = now.checked_sub(Duration::from_millis(u64::from(report.age_ms)));
+        self.measured_at = now.checked_sub(Duration::from_millis(u64::from(report.age_ms)));
         true
     }
 
-    /// Counts a dispatch.
+    /// Adds a dispatch to the load until a report includes it.
     pub fn dispatched(&mut self, now: Instant, attempt: AttemptId, size: Size) {
-        self.dispatches += 1;
-        self.unseen.push_back(Unseen {
+        self.dispatch_count += 1;
+        self.unreported.push_back(Unreported {
             attempt,
-            ordinal: self.dispatches,
-            sent: now,
+            dispatch_number: self.dispatch_count,
+            dispatched_at: now,
             size,
         });
-        self.sum_unseen();
+        self.update_unreported_size();
     }
 
-    /// Ends the count of a dispatch that no report has counted yet.
+    /// Removes a finished dispatch that no report includes yet.
     pub fn settled(&mut self, attempt: AttemptId) {
-        self.unseen.retain(|unseen| unseen.attempt != attempt);
-        self.sum_unseen();
+        self.unreported
+            .retain(|unreported| unreported.attempt != attempt);
+        self.update_unreported_size();
     }
 
-    /// Last report taken.
+    /// Last applied report.
     #[must_use]
     pub fn last(&self) -> Option<&LoadReport> {
         self.report.as_ref()
     }
 
-    /// Age of the figures in the last report.
+    /// Time since the target measured the last report; `None` before the first.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.reported.map(|at| now.saturating_duration_since(at))
+        self.measured_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Last report plus, with `netting`, what was dispatched since.
+    /// Load of the last report, plus unreported dispatches if `netting` is set.
     ///
-    /// The figures do not shrink with the age of the report, so a target does not become more
-    /// attractive by falling silent.
+    /// The load does not decrease with the age of the report, so that a target that stops
+    /// reporting does not attract requests.
     #[must_use]
     #[allow(clippy::cast_precision_loss)]
     pub fn load(&self, netting: bool) -> Load {
@@ -121,20 +123,20 @@
             load.decode_tokens = report.decode_backlog_tokens as f64;
         }
         if netting {
-            load.requests += self.unseen.len() as f64;
-            load.prefill_tokens += self.unseen_size.prefill_tokens;
-            load.decode_tokens += self.unseen_size.decode_tokens;
+            load.requests += self.unreported.len() as f64;
+            load.prefill_tokens += self.unreported_size.prefill_tokens;
+            load.decode_tokens += self.unreported_size.decode_tokens;
         }
         load
     }
 
-    fn sum_unseen(&mut self) {
-        self.unseen_size = self
-            .unseen
+    fn update_unreported_size(&mut self) {
+        self.unreported_size = self
+            .unreported
             .iter()
-            .fold(Size::default(), |sum, unseen| Size {
-                prefill_tokens: sum.prefill_tokens + unseen.size.prefill_tokens,
-                decode_tokens: sum.decode_tokens + unseen.size.decode_tokens,
+            .fold(Size::default(), |sum, unreported| Size {
+                prefill_tokens: sum.prefill_tokens + unreported.size.prefill_tokens,
+                decode_tokens: sum.decode_tokens + unreported.size.decode_tokens,
             });
     }
 }
--- a/components/routing/src/member.rs
+++ b/components/routing/src/member.rs
@@ -1,4 +1,4 @@
-//! One target as this entry sees it.
+//! State of a target as known to this entry.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,101 +12,104 @@
 use crate::load::LoadModel;
 use crate::settings::Settings;
 
-/// Number of priorities that are told apart; higher ones count as the last.
+/// Number of distinct priorities; larger values count as the last one.
 pub const PRIORITIES: usize = 10;
-/// Estimate of a target that has just come into service, as a multiple of the plain one.
+/// Initial factor on the rank of a target that has just become open.
 const SLOW_START_FACTOR: f64 = 3.0;
 
-/// Whether a target takes new work, and if not, why.
+/// Whether a target accepts new work, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Takes new work.
+    /// Accepts new work.
     Open,
-    /// Drained, replaced or withdrawn by configuration.
+    /// Draining, being replaced or withdrawn by configuration.
     NotActive,
-    /// The platform will stop its host.
+    /// Its host is about to be stopped by the platform.
     HostLeaving,
-    /// Its agent answered no probe in time.
+    /// Its agent has not answered a probe within `probe_timeout_ms`.
     Silent,
-    /// Reports that it leaves.
+    /// Its agent reports that it accepts no new work.
     Leaving,
-    /// Reports that it is away.
+    /// Its agent reports that it is away, for a change or after a crash.
     Away,
-    /// Ejected after failures.
+    /// Ejected after repeated failures.
     Ejected,
 }
 
-/// One target.
+/// Known target.
 #[derive(Debug)]
 pub(crate) struct Member {
     pub target: Target,
     pub pool: usize,
     pub holder: Holder,
     pub one_way_ms: Duration,
-    pub probed: Option<Instant>,
-    pub host_leaving: bool,
-    pub leaving: bool,
-    pub away: bool,
+    pub probed_at: Option<Instant>,
+    pub is_host_leaving: bool,
+    pub is_leaving: bool,
+    pub is_away: bool,
     pub load: LoadModel,
     pub ejection: Ejection,
     pub cache_sequence: u64,
-    /// Share of the tokens expected in the cache that answers reported as cached.
-    pub cache_trust: f64,
+    /// Mean ratio of cached tokens in answers to those expected from the index.
+    pub cache_hit_ratio: f64,
+    /// Attempts of this entry in flight.
     pub outstanding: u32,
     pub prefill_by_priority: [f64; PRIORITIES],
-    pub open_at: Option<usize>,
-    pub opened: Option<Instant>,
+    /// Position in the open list of the pool.
+    pub open_position: Option<usize>,
+    pub opened_at: Option<Instant>,
 }
 
 impl Member {
     pub fn new(target: Target, pool: usize, holder: Holder, settings: &Settings) -> Self {
-        let one_way_ms = settings.distance(&target.place);
+        let one_way_ms = settings.one_way_latency(&target.place);
         Self {
             target,
             pool,
             holder,
             one_way_ms,
-            probed: None,
-            host_leaving: false,
-            leaving: false,
-            away: false,
+            probed_at: None,
+            is_host_leaving: false,
+            is_leaving: false,
+            is_away: false,
             load: LoadModel::default(),
             ejection: Ejection::default(),
             cache_sequence: 0,
-            cache_trust: 1.0,
+            cache_hit_ratio: 1.0,
             outstanding: 0,
             prefill_by_priority: [0.0; PRIORITIES],
-            open_at: None,
-            opened: None,
+            open_position: None,
+            opened_at: None,
         }
     }
 
-    /// Forgets everything that an earlier run reported.
+    /// Resets the state reported by the previous run.
     pub fn restart(&mut self, incarnation: Incarnation, holder: Holder) {
         self.target.incarnation = incarnation;
         self.holder = holder;
-        self.probed = None;
-        self.leaving = false;
-        self.away = false;
+        self.probed_at = None;
+        self.is_leaving = false;
+        self.is_away = false;
         self.load = LoadModel::default();
         self.ejection = Ejection::default();
         self.cache_sequence = 0;
-        self.cache_trust = 1.0;
+        self.cache_hit_ratio = 1.0;
         self.outstanding = 0;
         self.prefill_by_priority = [0.0; PRIORITIES];
     }
 
     pub fn standing(&self, now: Instant, settings: &Settings) -> Standing {
-        let in_time = |at: Instant| now.saturating_duration_since(at) <= settings.probe_timeout_ms;
+        let is_recent =
+            |at: Instant| now.saturating_duration_since(at) <= settings.probe_timeout_ms;
         if !self.target.state.accepts_work() {
             Standing::NotActive
-        } else if self.host_leaving {
+        } else if self.is_host_leaving {
             Standing::HostLeaving
-        } else if self.leaving {
+        } else if self.is_leaving {
             Standing::Leaving
-        } else if self.away {
+        } else if self.is_away {
             Standing::Away
-        } else if !self.probed.is_some_and(in_time) {
+        } else if !self.probed_at.is_some_and(is_recent) {
             Standing::Silent
         } else if self.ejection.until(now).is_some() {
             Standing::Ejected
@@ -115,12 +118,12 @@
         }
     }
 
-    /// Whether the target has what a request needs; empty fields ask for nothing.
-    pub fn fits(&self, needs: &Loaded) -> bool {
+    /// Whether the target has loaded what a request needs; empty fields match anything.
+    pub fn is_compatible_with(&self, needs: &Loaded) -> bool {
         let loaded = &self.target.loaded;
-        let same = |need: &str, have: &str| need.is_empty() || need == have;
-        same(&needs.model, &loaded.model)
-            && same(&needs.version, &loaded.version)
+        let is_match = |need: &str, have: &str| need.is_empty() || need == have;
+        is_match(&needs.model, &loaded.model)
+            && is_match(&needs.version, &loaded.version)
             && needs
                 .adapters
                 .iter()
@@ -129,8 +132,8 @@
 
     /// Share of the prefill backlog that is served no later than work of this priority.
     ///
-    /// Reports do not split the backlog by priority. The split of this entry's own work in flight
-    /// stands for it, since all entries see the same mix.
+    /// Load reports do not split the backlog by priority. It is estimated from this entry's own
+    /// attempts in flight, as all entries get the same mix of requests.
     pub fn backlog_share(&self, priority: u8) -> f64 {
         let total: f64 = self.prefill_by_priority.iter().sum();
         if total < 1.0 {
@@ -141,13 +144,13 @@
         (ahead / total).min(1.0)
     }
 
-    /// Factor on the estimate while the target is new.
+    /// Factor on the rank, falling to 1 over `slow_start_ms` after the target became open.
     pub fn slow_start(&self, now: Instant, settings: &Settings) -> f64 {
-        let Some(opened) = self.opened.filter(|_| settings.mechanisms.slow_start) else {
+        let Some(opened_at) = self.opened_at.filter(|_| settings.mechanisms.slow_start) else {
             return 1.0;
         };
-        let age = now.saturating_duration_since(opened).as_secs_f64();
-        let share = (age / settings.slow_start_ms.as_secs_f64().max(1e-3)).min(1.0);
-        SLOW_START_FACTOR + (1.0 - SLOW_START_FACTOR) * share
+        let age = now.saturating_duration_since(opened_at).as_secs_f64();
+        let progress = (age / settings.slow_start_ms.as_secs_f64().max(1e-3)).min(1.0);
+        SLOW_START_FACTOR + (1.0 - SLOW_START_FACTOR) * progress
     }
 }
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the routing rules.
+//! Settings of the routing policy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,43 +6,43 @@
 use types::Place;
 use types::Role;
 
-/// How fast an engine works in one role.
+/// Speed of an engine in a role.
 ///
-/// An engine works in steps. A step gives one token to each stream and processes one chunk of
-/// prompt, and takes `step_ms + streams * stream_ms + chunk * prefill_ms_per_token`.
+/// An engine runs in steps. A step decodes one token of each stream and prefills one chunk of
+/// prompt tokens; it takes `step_ms + streams * stream_ms + chunk * prefill_ms_per_token`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RoleRates {
-    /// Fixed time of a step.
+    /// Fixed time per step.
     pub step_ms: f64,
-    /// Time that each stream adds to a step.
+    /// Additional time of a step per stream.
     pub stream_ms: f64,
-    /// Time that each prompt token adds to a step.
+    /// Additional time of a step per prompt token.
     pub prefill_ms_per_token: f64,
-    /// Most prompt tokens in one step.
+    /// Maximum prompt tokens per step.
     pub chunk_tokens: u32,
-    /// Most requests in service at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// Parts of the routing rules that can be switched off to measure what each is worth.
-#[allow(clippy::struct_excessive_bools)] // independent switches
+/// Parts of the routing policy. Each can be disabled to measure its effect.
+#[allow(clippy::struct_excessive_bools)] // each part is enabled on its own
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Use the prefix-cache index.
+    /// Prefer targets that hold the prefix, by the prefix-cache index.
     pub cache: bool,
-    /// Count what was dispatched since the last report.
+    /// Add the dispatches that the last report does not include to the load.
     pub netting: bool,
-    /// Use the estimated time to finish; otherwise the number of requests.
+    /// Rank by estimated completion time; otherwise by the number of requests.
     pub estimate: bool,
-    /// Favour targets that have been in service for a while.
+    /// Rank targets that have become open recently lower than others.
     pub slow_start: bool,
-    /// Eject targets that fail.
+    /// Eject targets after repeated failures.
     pub ejection: bool,
-    /// Say that a deadline cannot be met instead of dispatching anyway.
+    /// Refuse requests whose estimated completion is after their deadline.
     pub feasibility: bool,
-    /// Correct the estimate by how long answers took.
+    /// Scale estimates by the ratio of actual to estimated time of earlier answers.
     pub correction: bool,
-    /// Count the engine time that a request takes from others.
+    /// Add the delay that a request causes to others on the target to its rank.
     pub work: bool,
 }
 
@@ -61,44 +61,45 @@
     }
 }
 
-/// Settings of a [`crate::Fleet`].
+/// Settings of [`crate::Fleet`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Place of this entry.
+    /// Place (data centre) of this entry.
     pub place: Place,
-    /// One-way latency to other places.
+    /// One-way network latency to other places.
     pub distance_ms: BTreeMap<Place, Duration>,
-    /// One-way latency to places that are not listed.
+    /// One-way network latency to places not in `distance_ms`.
     pub default_distance_ms: Duration,
-    /// A target without an answered probe for this long takes no new work.
+    /// Time since the last answered probe after which a target gets no new work.
     pub probe_timeout_ms: Duration,
-    /// Time over which a new target is slowly given work.
+    /// Time over which the traffic of a new target is increased.
     pub slow_start_ms: Duration,
-    /// Candidates sampled at random.
+    /// Number of targets sampled at random.
     pub sample_count: usize,
-    /// Candidates looked at, at most, when the sampled ones are full or too slow.
+    /// Maximum number of sampled targets while those sampled are full or too slow.
     pub sample_limit: usize,
-    /// Time after which the caller of `choose` asks again when every target is full.
+    /// Delay before the next call of `choose` when no target can accept the request.
     pub retry_ms: Duration,
-    /// Weight of the engine time that a request takes from others on a full target, beside its own
-    /// time to finish. Less than 20 loses cache hits under overload, see `docs/policy.md`.
+    /// Weight of a request's engine time on a full target, added to its completion time as the
+    /// delay of other requests. Values below 20 lose cache hits under overload, see
+    /// `docs/policy.md`.
     pub work_weight: f64,
-    /// Prompt tokens of one cache piece.
+    /// Prompt tokens per cache piece.
     pub piece_tokens: u32,
-    /// Most pairs of prefix and target in the prefix-cache index.
+    /// Maximum number of pairs of prefix and target in the prefix-cache index.
     pub index_limit: usize,
-    /// Rates in the role `Prefill`.
+    /// Rates of the role `Prefill`.
     pub prefill: RoleRates,
-    /// Rates in the role `Mixed`.
+    /// Rates of the role `Mixed`.
     pub mixed: RoleRates,
-    /// Rates in the role `Decode`.
+    /// Rates of the role `Decode`.
     pub decode: RoleRates,
-    /// Parts that are switched on.
+    /// Enabled parts of the policy.
     pub mechanisms: Mechanisms,
 }
 
 impl Settings {
-    /// Defaults for an entry in a place.
+    /// Default settings of an entry in a place.
     #[must_use]
     pub fn new(place: impl Into<Place>) -> Self {
         Self {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Rates in a role.
+    /// Rates of a role.
     #[must_use]
     pub fn rates(&self, role: Role) -> &RoleRates {
         match role {
@@ -148,9 +149,9 @@
         }
     }
 
-    /// One-way latency from this entry to a place.
+    /// One-way network latency from this entry to a place.
     #[must_use]
-    pub fn distance(&self, place: &str) -> Duration {
+    pub fn one_way_latency(&self, place: &str) -> Duration {
         if place == self.place {
             return Duration::ZERO;
         }
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet whose targets answer probes and report no load.
+//! Test harness: a fleet whose targets have answered a probe and reported no load.
 
 #![allow(dead_code)]
 
@@ -19,7 +19,7 @@
 use types::Target;
 use types::TargetState;
 
-pub struct World {
+pub struct Setup {
     pub fleet: Fleet,
     pub now: Instant,
     pub targets: Vec<Target>,
@@ -27,39 +27,39 @@
     attempts: u128,
 }
 
-impl World {
+impl Setup {
     pub fn new(count: usize, seed: u64) -> Self {
-        let mut world = Self {
+        let mut setup = Self {
             fleet: Fleet::new(Settings::new("sapporo-a"), seed),
             now: Instant::now(),
             targets: (0..count).map(target).collect(),
             sequences: vec![0; count],
             attempts: 0,
         };
-        for at in 0..count {
-            let target = world.targets[at].clone();
-            world.fleet.target_set(world.now, &target);
-            world.probe(at);
-            world.report(at, |_| {});
+        for index in 0..count {
+            let target = setup.targets[index].clone();
+            setup.fleet.target_set(setup.now, &target);
+            setup.probe(index);
+            setup.report(index, |_| {});
         }
-        world
+        setup
     }
 
-    pub fn index(name: &str) -> usize {
+    pub fn index_of(name: &str) -> usize {
         name.trim_start_matches("engine-").parse().unwrap()
     }
 
-    pub fn probe(&mut self, at: usize) {
-        let target = &self.targets[at];
+    pub fn probe(&mut self, index: usize) {
+        let target = &self.targets[index];
         self.fleet
             .probe_answered(self.now, &target.name, target.incarnation);
     }
 
-    pub fn report(&mut self, at: usize, change: impl FnOnce(&mut LoadReport)) {
-        self.sequences[at] += 1;
-        let mut report = report(&self.targets[at], self.sequences[at]);
-        change(&mut report);
-        let name = self.targets[at].name.clone();
+    pub fn report(&mut self, index: usize, modify: impl FnOnce(&mut LoadReport)) {
+        self.sequences[index] += 1;
+        let mut report = report(&self.targets[index], self.sequences[index]);
+        modify(&mut report);
+        let name = self.targets[index].name.clone();
         self.fleet.load_report(self.now, &name, &report);
     }
 
@@ -75,18 +75,18 @@
         attempt
     }
 
-    pub fn run(&mut self, name: &str, prompt_tokens: u32, settlement: Settlement) {
+    pub fn dispatch_and_settle(&mut self, name: &str, prompt_tokens: u32, settlement: Settlement) {
         let attempt = self.dispatch(name, prompt_tokens);
         self.fleet
             .settled(self.now, &name.to_owned(), attempt, settlement);
     }
 
-    pub fn standing(&self, at: usize) -> Standing {
-        self.fleet.views(self.now, "drafts")[at].standing
+    pub fn standing(&self, index: usize) -> Standing {
+        self.fleet.views(self.now, "drafts")[index].standing
     }
 
-    pub fn rank(&self, at: usize, need: &Need) -> f64 {
-        let name = &self.targets[at].name;
+    pub fn rank(&self, index: usize, need: &Need) -> f64 {
+        let name = &self.targets[index].name;
         let candidates = self.fleet.explain(self.now, need);
         candidates
             .iter()
@@ -96,15 +96,15 @@
     }
 }
 
-pub fn target(at: usize) -> Target {
+pub fn target(index: usize) -> Target {
     Target {
-        name: format!("engine-{at}"),
+        name: format!("engine-{index}"),
         service: "drafts".into(),
         kind: ServiceKind::Model,
         place: "sapporo-a".into(),
-        host: format!("host-{at}"),
+        host: format!("host-{index}"),
         agent: "127.0.0.1:1".parse().unwrap(),
-        incarnation: 100 + at as u64,
+        incarnation: 100 + index as u64,
         honours_fencing: true,
         state: TargetState::Active,
         role: Role::Mixed,
--- a/components/routing/tests/load.rs
+++ b/components/routing/tests/load.rs
@@ -1,10 +1,11 @@
-//! Guards against wrong load accounting and against a cache index that grows or misleads.
+//! Guards against wrong load accounting, and against a prefix-cache index that exceeds its limit or
+//! keeps evicted pieces.
 
 mod common;
 
 use std::time::Duration;
 
-use common::World;
+use common::Setup;
 use common::need;
 use request::Choice;
 use request::Router;
@@ -16,42 +17,42 @@
 use types::Usage;
 
 quickcheck! {
-    fn stale_reports_do_not_raise_a_rank(backlogs: Vec<u16>, stale: u16, dispatched: u8) -> bool {
-        let mut world = World::new(2, 1);
+    fn stale_reports_do_not_improve_rank(backlogs: Vec<u16>, stale: u16, dispatched: u8) -> bool {
+        let mut setup = Setup::new(2, 1);
         for backlog in &backlogs {
-            world.report(0, |report| report.prefill_backlog_tokens = u64::from(*backlog));
+            setup.report(0, |report| report.prefill_backlog_tokens = u64::from(*backlog));
         }
         for _ in 0..dispatched % 8 {
-            world.dispatch("engine-0", 3_000);
+            setup.dispatch("engine-0", 3_000);
         }
-        let need = need(world.now, 1_000);
-        let before = world.rank(0, &need);
-        world.report(0, |report| {
+        let need = need(setup.now, 1_000);
+        let before = setup.rank(0, &need);
+        setup.report(0, |report| {
             report.sequence = u64::from(stale) % (backlogs.len() as u64 + 2);
             report.received = 1_000;
         });
-        world.rank(0, &need) >= before
+        setup.rank(0, &need) >= before
     }
 
-    fn a_target_does_not_gain_rank_by_falling_silent(backlog: u32, silence_ms: u16) -> bool {
-        let mut world = World::new(2, 1);
-        world.now += Duration::from_mins(1);
-        world.report(0, |report| report.prefill_backlog_tokens = u64::from(backlog));
-        let need = need(world.now, 1_000);
-        let before = world.rank(0, &need);
-        world.now += Duration::from_millis(u64::from(silence_ms));
-        world.rank(0, &need) >= before
+    fn silence_does_not_improve_the_rank(backlog: u32, silence_ms: u16) -> bool {
+        let mut setup = Setup::new(2, 1);
+        setup.now += Duration::from_mins(1);
+        setup.report(0, |report| report.prefill_backlog_tokens = u64::from(backlog));
+        let need = need(setup.now, 1_000);
+        let before = setup.rank(0, &need);
+        setup.now += Duration::from_millis(u64::from(silence_ms));
+        setup.rank(0, &need) >= before
     }
 
-    fn dispatches_count_until_a_report_has_received_them(sent: u8, received: u8) -> bool {
-        let mut world = World::new(1, 1);
+    fn dispatches_add_load_until_a_report_includes_them(sent: u8, received: u8) -> bool {
+        let mut setup = Setup::new(1, 1);
         let sent = u64::from(sent % 32);
         let received = u64::from(received % 32).min(sent);
         for _ in 0..sent {
-            world.dispatch("engine-0", 100);
+            setup.dispatch("engine-0", 100);
         }
-        world.report(0, |report| report.received = received);
-        let requests = world.fleet.views(world.now, "drafts")[0].requests;
+        setup.report(0, |report| report.received = received);
+        let requests = setup.fleet.views(setup.now, "drafts")[0].requests;
         (requests - f64::from(u32::try_from(sent - received).unwrap())).abs() < 1e-6
     }
 
@@ -71,8 +72,8 @@
 
 #[test]
 fn prefers_the_target_that_holds_the_prefix_in_a_large_fleet() {
-    let mut world = World::new(64, 5);
-    world.now += Duration::from_secs(1);
+    let mut setup = Setup::new(64, 5);
+    setup.now += Duration::from_secs(1);
     let prefixes: Vec<u64> = (1..=10).map(|n| n * 7_919).collect();
     let events: Vec<_> = (1..)
         .zip(&prefixes)
@@ -82,52 +83,52 @@
             stored: true,
         })
         .collect();
-    world.fleet.cache_events("engine-17", 117, &events);
-    let mut need = need(world.now, 20_000);
+    setup.fleet.cache_events("engine-17", 117, &events);
+    let mut need = need(setup.now, 20_000);
     need.prefixes = prefixes;
-    let choice = world.fleet.choose(world.now, &need, &[]);
+    let choice = setup.fleet.choose(setup.now, &need, &[]);
     assert!(matches!(choice, Choice::Target { target, .. } if target == "engine-17"));
 }
 
 #[test]
-fn usage_without_cache_hits_lowers_the_trust_in_the_index() {
-    let mut world = World::new(1, 5);
-    let mut need = need(world.now, 20_000);
+fn usage_without_cache_hits_lowers_the_expected_hits() {
+    let mut setup = Setup::new(1, 5);
+    let mut need = need(setup.now, 20_000);
     need.prefixes = (1..=10).map(|n| n * 7_919).collect();
     let mut cached = Vec::new();
     for request in 0..20 {
         let attempt = types::AttemptId { request, number: 1 };
         let name = "engine-0".to_owned();
-        world.fleet.dispatched(world.now, &name, attempt, &need);
+        setup.fleet.dispatched(setup.now, &name, attempt, &need);
         let usage = Usage {
             prompt_tokens: 20_000,
             cached_tokens: 0,
             output_tokens: 10,
         };
-        world
+        setup
             .fleet
-            .settled(world.now, &name, attempt, Settlement::Answered(usage));
-        cached.push(world.fleet.explain(world.now, &need)[0].cached_tokens);
+            .settled(setup.now, &name, attempt, Settlement::Answered(usage));
+        cached.push(setup.fleet.explain(setup.now, &need)[0].cached_tokens);
     }
     assert!(cached[19] < cached[0] / 2.0, "{cached:?}");
 }
 
-/// Guards against engines that state no usage and seem to answer without any work: estimates
-/// would become too low, and cached prefixes would count for nothing.
+/// An engine that reports no usage must not count as one that produced no output and had no cache
+/// hits: estimates would become too low and cached prefixes would be ignored.
 #[test]
-fn answers_without_usage_teach_nothing() {
-    let mut world = World::new(1, 5);
-    let mut need = need(world.now, 20_000);
+fn answers_without_usage_leave_the_averages_unchanged() {
+    let mut setup = Setup::new(1, 5);
+    let mut need = need(setup.now, 20_000);
     need.prefixes = (1..=10).map(|n| n * 7_919).collect();
     let mut sizes = Vec::new();
     for request in 0..20 {
         let attempt = types::AttemptId { request, number: 1 };
         let name = "engine-0".to_owned();
-        world.fleet.dispatched(world.now, &name, attempt, &need);
+        setup.fleet.dispatched(setup.now, &name, attempt, &need);
         let settlement = Settlement::Answered(Usage::default());
-        world.fleet.settled(world.now, &name, attempt, settlement);
-        let cached = world.fleet.explain(world.now, &need)[0].cached_tokens;
-        sizes.push((world.fleet.size_for(&need).decode_tokens, cached));
+        setup.fleet.settled(setup.now, &name, attempt, settlement);
+        let cached = setup.fleet.explain(setup.now, &need)[0].cached_tokens;
+        sizes.push((setup.fleet.size_for(&need).decode_tokens, cached));
     }
     assert_eq!(sizes[0], sizes[19]);
 }
--- a/components/routing/tests/membership.rs
+++ b/components/routing/tests/membership.rs
@@ -1,12 +1,12 @@
-//! Guards against new work for targets that should get none, and against unequal runs of equal
-//! inputs.
+//! Guards against dispatch to targets that accept no new work, and against decisions that differ
+//! for equal seeds and inputs.
 
 mod common;
 
 use std::time::Duration;
 use std::time::Instant;
 
-use common::World;
+use common::Setup;
 use common::need;
 use request::Choice;
 use request::Router;
@@ -15,45 +15,45 @@
 use seeded::quickcheck;
 use types::TargetState;
 
-fn chosen(choice: &Choice) -> Option<String> {
+fn chosen_target(choice: &Choice) -> Option<String> {
     match choice {
         Choice::Target { target, .. } => Some(target.clone()),
         _ => None,
     }
 }
 
-/// Applies one sign that ends new work at a target.
-fn end_work(world: &mut World, at: usize, sign: u8) {
-    let now = world.now;
-    let name = world.targets[at].name.clone();
-    match sign % 5 {
-        0 => world.report(at, |report| report.leaving = true),
-        1 => world.report(at, |report| report.away = true),
-        2 => world
+/// Applies an event after which the target must get no new work.
+fn stop_new_work(setup: &mut Setup, index: usize, cause: u8) {
+    let now = setup.now;
+    let name = setup.targets[index].name.clone();
+    match cause % 5 {
+        0 => setup.report(index, |report| report.leaving = true),
+        1 => setup.report(index, |report| report.away = true),
+        2 => setup
             .fleet
-            .host_leaving(now, &world.targets[at].host.clone()),
+            .host_leaving(now, &setup.targets[index].host.clone()),
         3 => {
-            world.targets[at].state = TargetState::Draining;
-            let target = world.targets[at].clone();
-            world.fleet.target_set(now, &target);
+            setup.targets[index].state = TargetState::Draining;
+            let target = setup.targets[index].clone();
+            setup.fleet.target_set(now, &target);
         }
-        _ => world.fleet.unreachable(now, &name),
+        _ => setup.fleet.unreachable(now, &name),
     }
 }
 
 quickcheck! {
-    fn never_chooses_a_target_after_any_sign_of_leaving(signs: Vec<(u8, u8)>, seed: u64) -> bool {
-        let mut world = World::new(8, seed);
-        let mut gone = [false; 8];
-        for (at, sign) in signs {
-            let at = usize::from(at) % 8;
-            end_work(&mut world, at, sign);
-            gone[at] = true;
+    fn never_chooses_a_target_that_accepts_no_work(causes: Vec<(u8, u8)>, seed: u64) -> bool {
+        let mut setup = Setup::new(8, seed);
+        let mut is_stopped = [false; 8];
+        for (index, cause) in causes {
+            let index = usize::from(index) % 8;
+            stop_new_work(&mut setup, index, cause);
+            is_stopped[index] = true;
             for _ in 0..4 {
-                let choice = world.fleet.choose(world.now, &need(world.now, 4_000), &[]);
-                match chosen(&choice) {
-                    Some(name) if gone[World::index(&name)] => return false,
-                    None if gone.contains(&false) => return false,
+                let choice = setup.fleet.choose(setup.now, &need(setup.now, 4_000), &[]);
+                match chosen_target(&choice) {
+                    Some(name) if is_stopped[Setup::index_of(&name)] => return false,
+                    None if is_stopped.contains(&false) => return false,
                     _ => {}
                 }
             }
@@ -62,108 +62,109 @@
     }
 
     fn chooses_no_target_whose_probes_are_unanswered_for_two_seconds(silent: u8) -> bool {
-        let mut world = World::new(6, 7);
+        let mut setup = Setup::new(6, 7);
         let silent = usize::from(silent) % 6;
         for _ in 0..5 {
-            world.now += Duration::from_millis(500);
-            for at in (0..6).filter(|at| *at != silent) {
-                world.probe(at);
+            setup.now += Duration::from_millis(500);
+            for index in (0..6).filter(|index| *index != silent) {
+                setup.probe(index);
             }
         }
         (0..50).all(|_| {
-            let choice = world.fleet.choose(world.now, &need(world.now, 4_000), &[]);
-            chosen(&choice).is_some_and(|name| World::index(&name) != silent)
+            let choice = setup.fleet.choose(setup.now, &need(setup.now, 4_000), &[]);
+            chosen_target(&choice).is_some_and(|name| Setup::index_of(&name) != silent)
         })
     }
 
     fn ejects_at_most_half_of_a_service(failures: Vec<u8>, seed: u64) -> bool {
-        let mut world = World::new(7, seed);
-        for at in failures.iter().chain([0, 1, 2, 3, 4, 5, 6].iter().cycle().take(70)) {
-            let name = world.targets[usize::from(*at) % 7].name.clone();
-            world.run(&name, 1_000, Settlement::Failed);
+        let mut setup = Setup::new(7, seed);
+        for index in failures.iter().chain([0, 1, 2, 3, 4, 5, 6].iter().cycle().take(70)) {
+            let name = setup.targets[usize::from(*index) % 7].name.clone();
+            setup.dispatch_and_settle(&name, 1_000, Settlement::Failed);
         }
-        let views = world.fleet.views(world.now, "drafts");
+        let views = setup.fleet.views(setup.now, "drafts");
         let ejected = views.iter().filter(|view| view.standing == Standing::Ejected).count();
         (1..=3).contains(&ejected)
     }
 
-    fn gives_the_same_decisions_for_the_same_seed(sizes: Vec<u16>, seed: u64) -> bool {
-        let run = || {
-            let mut world = World::new(12, seed);
+    fn makes_the_same_decisions_for_the_same_seed(sizes: Vec<u16>, seed: u64) -> bool {
+        let decisions = || {
+            let mut setup = Setup::new(12, seed);
             sizes.iter().map(|size| {
                 let prompt = u32::from(*size);
-                let choice = world.fleet.choose(world.now, &need(world.now, prompt), &[]);
-                let name = chosen(&choice);
+                let choice = setup.fleet.choose(setup.now, &need(setup.now, prompt), &[]);
+                let name = chosen_target(&choice);
                 if let Some(name) = &name {
-                    world.dispatch(name, prompt);
+                    setup.dispatch(name, prompt);
                 }
                 name
             }).collect::<Vec<_>>()
         };
-        run() == run()
+        decisions() == decisions()
     }
 }
 
 #[test]
-fn takes_an_ejected_target_back_after_its_time() {
-    let mut world = World::new(4, 3);
-    let name = world.targets[0].name.clone();
+fn reopens_an_ejected_target_after_the_ejection_time() {
+    let mut setup = Setup::new(4, 3);
+    let name = setup.targets[0].name.clone();
     for _ in 0..5 {
-        world.run(&name, 100, Settlement::Failed);
+        setup.dispatch_and_settle(&name, 100, Settlement::Failed);
     }
-    assert_eq!(world.standing(0), Standing::Ejected);
-    world.now += routing::ejection::FIRST_MS + Duration::from_millis(1);
-    (0..4).for_each(|at| world.probe(at));
-    assert_eq!(world.standing(0), Standing::Open);
+    assert_eq!(setup.standing(0), Standing::Ejected);
+    setup.now += routing::ejection::BASE_EJECTION_MS + Duration::from_millis(1);
+    (0..4).for_each(|index| setup.probe(index));
+    assert_eq!(setup.standing(0), Standing::Open);
 }
 
 #[test]
-fn ignores_an_earlier_run_of_a_target() {
-    let mut world = World::new(1, 3);
-    let old = world.targets[0].incarnation;
-    world.targets[0].incarnation = old + 1;
-    let target = world.targets[0].clone();
-    world.fleet.target_set(world.now, &target);
-    world.fleet.probe_answered(world.now, &target.name, old);
-    assert_eq!(world.standing(0), Standing::Silent);
+fn ignores_probe_answers_of_an_earlier_incarnation() {
+    let mut setup = Setup::new(1, 3);
+    let old = setup.targets[0].incarnation;
+    setup.targets[0].incarnation = old + 1;
+    let target = setup.targets[0].clone();
+    setup.fleet.target_set(setup.now, &target);
+    setup.fleet.probe_answered(setup.now, &target.name, old);
+    assert_eq!(setup.standing(0), Standing::Silent);
 }
 
 #[test]
-fn says_never_without_targets_and_wait_while_all_are_away() {
-    let mut world = World::new(2, 3);
-    let mut other = need(world.now, 100);
+fn returns_never_without_targets_and_wait_while_all_are_away() {
+    let mut setup = Setup::new(2, 3);
+    let mut other = need(setup.now, 100);
     other.service = "unknown".into();
-    assert_eq!(world.fleet.choose(world.now, &other, &[]), Choice::Never);
-    (0..2).for_each(|at| world.report(at, |report| report.away = true));
-    let choice = world.fleet.choose(world.now, &need(world.now, 100), &[]);
+    assert_eq!(setup.fleet.choose(setup.now, &other, &[]), Choice::Never);
+    (0..2).for_each(|index| setup.report(index, |report| report.away = true));
+    let choice = setup.fleet.choose(setup.now, &need(setup.now, 100), &[]);
     assert!(matches!(choice, Choice::Wait { .. }));
-    let mut wrong = need(world.now, 100);
+    let mut wrong = need(setup.now, 100);
     wrong.needs.model = "another".into();
-    assert_eq!(world.fleet.choose(world.now, &wrong, &[]), Choice::Never);
+    assert_eq!(setup.fleet.choose(setup.now, &wrong, &[]), Choice::Never);
 }
 
 #[test]
-fn uses_an_excluded_target_only_when_nothing_else_is_left() {
-    let mut world = World::new(2, 3);
-    let exclude = [world.targets[0].name.clone()];
+fn chooses_an_excluded_target_only_if_no_other_is_open() {
+    let mut setup = Setup::new(2, 3);
+    let exclude = [setup.targets[0].name.clone()];
     for _ in 0..20 {
-        let choice = world
+        let choice = setup
             .fleet
-            .choose(world.now, &need(world.now, 100), &exclude);
-        assert_eq!(chosen(&choice), Some(world.targets[1].name.clone()));
+            .choose(setup.now, &need(setup.now, 100), &exclude);
+        assert_eq!(chosen_target(&choice), Some(setup.targets[1].name.clone()));
     }
-    end_work(&mut world, 1, 0);
-    let choice = world
+    stop_new_work(&mut setup, 1, 0);
+    let choice = setup
         .fleet
-        .choose(world.now, &need(world.now, 100), &exclude);
-    assert_eq!(chosen(&choice), Some(world.targets[0].name.clone()));
+        .choose(setup.now, &need(setup.now, 100), &exclude);
+    assert_eq!(chosen_target(&choice), Some(setup.targets[0].name.clone()));
 }
 
 #[test]
-fn says_infeasible_when_no_target_can_meet_the_deadline() {
-    let mut world = World::new(3, 3);
-    (0..3).for_each(|at| world.report(at, |report| report.prefill_backlog_tokens = 10_000_000));
-    let choice = world.fleet.choose(world.now, &need(world.now, 100), &[]);
+fn returns_infeasible_when_no_target_can_meet_the_deadline() {
+    let mut setup = Setup::new(3, 3);
+    (0..3)
+        .for_each(|index| setup.report(index, |report| report.prefill_backlog_tokens = 10_000_000));
+    let choice = setup.fleet.choose(setup.now, &need(setup.now, 100), &[]);
     assert!(matches!(choice, Choice::Infeasible { .. }));
-    let _: Instant = world.now;
+    let _: Instant = setup.now;
 }
