--- a/components/entry/src/core/configuration.rs
+++ b/components/entry/src/core/configuration.rs
@@ -1,4 +1,4 @@
-//! Applies snapshots: terms of services, targets of the router, connections, order hints.
+//! Applies configuration snapshots to terms, targets, connections, order hints and leases.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -14,10 +14,10 @@
 use crate::core::Action;
 use crate::core::EntryCore;
 use crate::core::Note;
-use crate::core::operations::Owner;
+use crate::core::pending_calls::Owner;
 
 impl EntryCore {
-    pub(super) fn tell_follower(
+    pub(super) fn handle_follower_event(
         &mut self,
         now: Instant,
         event: FollowerEvent,
@@ -26,7 +26,7 @@
         for action in self.follower.handle(now, event) {
             match action {
                 FollowerAction::Table { operation, request } => {
-                    let operation = self.begin(Owner::Follower, operation);
+                    let operation = self.begin_call(Owner::Follower, operation);
                     actions.push(Action::Table { operation, request });
                 }
                 FollowerAction::AskPeer { after } => self.ask_peer(after, actions),
@@ -52,16 +52,16 @@
     }
 
     fn apply(&mut self, now: Instant, snapshot: &Rc<Snapshot>, actions: &mut Vec<Action>) {
-        let before = self.applied.replace(Rc::clone(snapshot));
+        let previous = self.applied.replace(Rc::clone(snapshot));
         self.set_terms(snapshot);
-        self.set_targets(now, before.as_deref(), snapshot, actions);
-        self.send_order_hints(now, before.as_deref(), snapshot, actions);
-        self.set_duties(now, snapshot);
+        self.set_targets(now, previous.as_deref(), snapshot, actions);
+        self.send_order_hints(now, previous.as_deref(), snapshot, actions);
+        self.add_service_leases(now, snapshot);
         actions.push(Action::Note(Note::ConfigurationApplied {
             revision: snapshot.revision(),
         }));
-        // Requests that waited for a target may go on.
-        self.tell_requests(now, request::Event::Tick, actions);
+        // Requests that wait for a target may proceed.
+        self.handle_request_event(now, request::Event::Tick, actions);
     }
 
     fn set_terms(&mut self, snapshot: &Snapshot) {
@@ -82,12 +82,12 @@
     fn set_targets(
         &mut self,
         now: Instant,
-        before: Option<&Snapshot>,
+        previous: Option<&Snapshot>,
         snapshot: &Snapshot,
         actions: &mut Vec<Action>,
     ) {
         for (name, target) in snapshot.targets() {
-            let old = before.and_then(|before| before.target(name));
+            let old = previous.and_then(|previous| previous.target(name));
             if old.is_some_and(|old| Rc::ptr_eq(old, target)) {
                 continue;
             }
@@ -95,36 +95,36 @@
             if self.shares.contains(name) {
                 self.router.fleet.target_set(now, &target.value);
             }
-            if self.shares.contains(name) || self.outside.contains_key(name) {
+            if self.shares.contains(name) || self.outside_share.contains_key(name) {
                 self.connect(now, snapshot, name, actions);
             }
         }
-        let gone: Vec<_> = before
+        let removed: Vec<_> = previous
             .into_iter()
             .flat_map(Snapshot::targets)
             .map(|(name, _)| name)
             .filter(|name| snapshot.target(name).is_none())
             .cloned()
             .collect();
-        for name in gone {
+        for name in removed {
             self.shares.remove(&name);
-            self.outside.remove(&name);
+            self.outside_share.remove(&name);
             self.router.fleet.target_removed(&name);
             let links = self.links.remove(now, &name);
-            self.carry_out_links(now, links, actions);
+            self.apply_link_actions(now, links, actions);
         }
-        self.refresh_share(now, actions);
+        self.update_shares(now, actions);
     }
 
     fn send_order_hints(
         &mut self,
         now: Instant,
-        before: Option<&Snapshot>,
+        previous: Option<&Snapshot>,
         snapshot: &Snapshot,
         actions: &mut Vec<Action>,
     ) {
         for (target, order) in snapshot.orders() {
-            let old = before.and_then(|before| before.order(target));
+            let old = previous.and_then(|previous| previous.order(target));
             if old.is_some_and(|old| old.number >= order.number) {
                 continue;
             }
@@ -132,7 +132,7 @@
         }
     }
 
-    pub(super) fn hosts(
+    pub(super) fn update_hosts(
         &mut self,
         now: Instant,
         result: Result<Vec<HostEntry>, StoreError>,
@@ -141,15 +141,15 @@
         let entries = match result {
             Ok(entries) => entries,
             Err(error) => {
-                // One record for each outage; the list is read every few seconds.
-                if !std::mem::replace(&mut self.hosts_failing, true) {
+                // Logs once per outage, as the list is read every few seconds.
+                if !std::mem::replace(&mut self.is_host_list_failing, true) {
                     let detail = error.to_string();
                     actions.push(Action::Note(Note::HostListFailed { detail }));
                 }
                 return;
             }
         };
-        self.hosts_failing = false;
+        self.is_host_list_failing = false;
         for entry in entries {
             match entry.state {
                 HostState::Leaving => {
--- a/components/entry/src/core/event.rs
+++ b/components/entry/src/core/event.rs
@@ -1,4 +1,4 @@
-//! What the decisions of an entry are told, and what they ask for.
+//! Input events and output actions of the core.
 
 use std::net::SocketAddr;
 
@@ -24,171 +24,171 @@
 use crate::core::links::LinkId;
 use crate::core::note::Note;
 
-/// One event.
+/// Input of `EntryCore::handle`.
 #[derive(Debug)]
 pub enum Event {
-    /// A caller's request arrived.
+    /// A caller sent a request.
     Submitted {
         /// Id from `EntryCore::new_request`.
         request: RequestId,
-        /// The request.
+        /// Work, caller and idempotency key.
         submission: Submission,
     },
-    /// The caller's socket took bytes of the answer.
+    /// Bytes of the answer were written to the caller's socket.
     Consumed {
-        /// Request concerned.
+        /// Id from `EntryCore::new_request`.
         request: RequestId,
-        /// Bytes taken.
+        /// Number of bytes since the last event.
         bytes: u64,
     },
-    /// The caller hung up.
+    /// The caller disconnected before the end of the answer.
     CallerGone {
-        /// Request concerned.
+        /// Id from `EntryCore::new_request`.
         request: RequestId,
     },
-    /// A message came on a connection to an agent.
+    /// A message arrived on a connection to an agent.
     LinkMessage {
-        /// Connection concerned.
+        /// Id from `Action::OpenLink`.
         link: LinkId,
         /// The message.
         message: ToEntry,
     },
     /// A connection to an agent ended or could not be opened.
     LinkClosed {
-        /// Connection concerned.
+        /// Id from `Action::OpenLink`.
         link: LinkId,
-        /// Error, if there was one.
+        /// Error; `None` after a regular end.
         detail: Option<String>,
     },
-    /// An authenticated datagram arrived.
+    /// A datagram with a valid authentication code arrived.
     Datagram(Datagram),
-    /// A call to the table ended.
+    /// A call to the table returned.
     TableDone {
         /// Number from `Action::Table`.
         operation: u64,
-        /// Its end.
+        /// Reply or error.
         result: Result<TableReply, StoreError>,
     },
-    /// A call to the object store ended.
+    /// A call to the object store returned.
     ObjectDone {
         /// Number from `Action::Object`.
         operation: u64,
-        /// Its end.
+        /// Reply or error.
         result: Result<ObjectReply, StoreError>,
     },
-    /// The host list was read.
+    /// A read of the host list returned.
     Hosts(Result<Vec<HostEntry>, StoreError>),
-    /// Another entry asks for changes.
+    /// Another entry requested changes.
     PeerAsks {
-        /// Run of the other entry.
+        /// Incarnation of the other entry.
         peer: Incarnation,
-        /// Revision that it has.
+        /// Latest revision that it has applied.
         after: Revision,
     },
-    /// Another entry sent changes.
+    /// Another entry sent changes, or a part of a snapshot.
     PeerAnswered {
-        /// Run of the other entry.
+        /// Random id of the exchange.
         peer: Incarnation,
-        /// The changes.
+        /// Changes or part of a snapshot.
         answer: PeerAnswer,
     },
-    /// A planned order was written, or was not.
+    /// The write of a planned order returned.
     OrderPlanned {
-        /// Service planned for.
+        /// Service of the target.
         service: String,
-        /// Error, if it was not written.
+        /// Error; `None` if the order was written.
         error: Option<String>,
     },
-    /// The process was asked to stop, and the balancer has had its time to notice.
+    /// The process was asked to stop, and the balancer's notice period is over.
     Leaving,
-    /// Time passed.
+    /// The time of `EntryCore::next_wake` has come.
     Tick,
 }
 
-/// One action.
+/// Side effect for the daemon to carry out.
 #[derive(Debug)]
 pub enum Action {
-    /// Hand a part of an answer to the caller.
+    /// Send a part of the answer to the caller.
     Reply {
-        /// Request concerned.
+        /// Id from `EntryCore::new_request`.
         request: RequestId,
-        /// Next part.
+        /// Head, bytes, end or refusal.
         reply: Reply,
     },
     /// Open a connection to an agent.
     OpenLink {
-        /// Number of the new connection.
+        /// Id of the new connection.
         link: LinkId,
-        /// Target that it must lead to.
+        /// Target that the agent has to confirm.
         target: TargetName,
         /// Address of the agent.
         address: SocketAddr,
     },
     /// Close a connection to an agent.
     CloseLink {
-        /// Connection concerned.
+        /// Id from `Action::OpenLink`.
         link: LinkId,
     },
     /// Send a message to an agent.
     Send {
-        /// Connection concerned.
+        /// Id from `Action::OpenLink`.
         link: LinkId,
         /// The message.
         message: ToAgent,
     },
     /// Send a datagram.
     SendDatagram {
-        /// Where to.
+        /// Address of an agent or another entry.
         to: SocketAddr,
-        /// The datagram.
+        /// Sent with an authentication code.
         datagram: Datagram,
     },
-    /// Call the table and report its end with the same number.
+    /// Call the table and report the result as `Event::TableDone` with the same number.
     Table {
-        /// Number of the call.
+        /// Number of the call, unique in this process.
         operation: u64,
-        /// The call.
+        /// Arguments of the call.
         request: TableRequest,
     },
-    /// Call the object store and report its end with the same number.
+    /// Call the object store and report the result as `Event::ObjectDone` with the same number.
     Object {
-        /// Number of the call.
+        /// Number of the call, unique in this process.
         operation: u64,
-        /// The call.
+        /// Arguments of the call.
         request: ObjectRequest,
     },
-    /// Read the host list and report it.
+    /// Read the host list and report it as `Event::Hosts`.
     ReadHosts,
-    /// Ask another entry for the changes after a revision.
+    /// Request the changes after a revision from another entry.
     AskPeer {
         /// Address of the other entry.
         address: SocketAddr,
-        /// Revision in force here.
+        /// Latest revision applied here.
         after: Revision,
     },
-    /// Answer another entry.
+    /// Send changes to another entry that requested them.
     AnswerPeer {
-        /// Run of the other entry.
+        /// Incarnation from `Event::PeerAsks`.
         peer: Incarnation,
-        /// The answer.
+        /// Changes or part of a snapshot.
         answer: PeerAnswer,
     },
-    /// Write an order under a lease and report its end.
+    /// Write an order under a lease and report the result as `Event::OrderPlanned`.
     PlanOrder {
-        /// Lease held.
+        /// Lease that the write depends on.
         held: HeldLease,
-        /// Target concerned.
+        /// Target that has to execute the order.
         target: TargetName,
-        /// What it has to do.
+        /// Content of the order.
         kind: OrderKind,
-        /// Explanation for the audit trail.
+        /// Explanation in the audit trail.
         reason: String,
     },
-    /// Record in the audit trail why nothing was changed.
+    /// Record in the audit trail why a role change was rejected.
     KeepPlan {
-        /// Lease held.
+        /// Lease that the write depends on.
         held: HeldLease,
-        /// Explanation for the audit trail.
+        /// Explanation in the audit trail.
         reason: String,
     },
     /// Write a log record.
--- a/components/entry/src/core/hints.rs
+++ b/components/entry/src/core/hints.rs
@@ -1,7 +1,7 @@
-//! Hints at orders, so that agents read the table soon after an order and rarely otherwise.
+//! Order hints: they make an agent read the table soon after an order, so that it can poll rarely.
 //!
-//! A hint that is written to a connection arrives unless the connection has gone silent. It is
-//! therefore watched for a while, and a connection that takes its place gets the hint again.
+//! A hint is lost only if its connection is dead. The connection is therefore monitored for a
+//! while after a hint, and a connection that replaces it gets the hint again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,31 +14,31 @@
 use crate::core::Action;
 use crate::core::EntryCore;
 
-/// Time that a connection is watched after a hint; a silent one is replaced after 2 s, and
+/// Time that a connection is monitored after a hint. A silent one is replaced after 2 s, and
 /// opening the next one takes up to 2 s.
-const WATCHED_MS: Duration = Duration::from_secs(5);
+const MONITOR_MS: Duration = Duration::from_secs(5);
 
-/// Targets that were sent a hint lately.
+/// Targets to which a hint was sent within `MONITOR_MS`.
 #[derive(Debug, Default)]
-pub struct Hints {
-    watched_until: BTreeMap<TargetName, Instant>,
+pub struct OrderHints {
+    monitored_until: BTreeMap<TargetName, Instant>,
 }
 
-impl Hints {
-    /// Whether the connection to a target is to be watched.
+impl OrderHints {
+    /// Whether a hint was sent to the target recently, so that its connection has to be monitored.
     #[must_use]
-    pub fn is_fresh(&self, target: &TargetName) -> bool {
-        self.watched_until.contains_key(target)
+    pub fn is_recent(&self, target: &TargetName) -> bool {
+        self.monitored_until.contains_key(target)
     }
 
-    /// Ends the watch of connections that has lasted long enough.
-    pub fn forget_old(&mut self, now: Instant) {
-        self.watched_until.retain(|_, until| *until > now);
+    /// Removes targets whose latest hint is older than `MONITOR_MS`.
+    pub fn remove_expired(&mut self, now: Instant) {
+        self.monitored_until.retain(|_, until| *until > now);
     }
 }
 
 impl EntryCore {
-    /// Announces an order if its target is connected; otherwise `Welcome` leads to the hint.
+    /// Sends a hint for an order if its target is connected; otherwise it is sent after `Welcome`.
     pub(super) fn send_order_hint(
         &mut self,
         now: Instant,
@@ -49,14 +49,16 @@
         let Some(link) = self.links.link(target) else {
             return;
         };
-        self.links.sent(now, link);
-        let until = now + WATCHED_MS;
-        self.hints.watched_until.insert(target.clone(), until);
+        self.links.message_sent(now, link);
+        let until = now + MONITOR_MS;
+        self.order_hints
+            .monitored_until
+            .insert(target.clone(), until);
         let message = ToAgent::OrderHint { number };
         actions.push(Action::Send { link, message });
     }
 
-    /// Announces an order again on a new connection, unless the agent has executed it.
+    /// Sends a hint for the latest order on a new connection, unless the agent has executed it.
     pub(super) fn repeat_order_hint(
         &mut self,
         now: Instant,
--- /dev/null
+++ b/components/entry/src/core/keepalive.rs
@@ -0,0 +1,45 @@
+//! Heartbeats of a connection; silence is detected only while the connection is monitored.
+
+use std::time::Instant;
+
+use wire::Liveness;
+use wire::liveness::Pulse;
+
+use crate::core::links::LinkTimes;
+
+/// Heartbeat state of a connection.
+pub struct Keepalive {
+    pub liveness: Liveness,
+    pub last_heard_at: Instant,
+    pub is_monitored: bool,
+}
+
+impl Keepalive {
+    pub fn new(now: Instant, times: &LinkTimes) -> Self {
+        Self {
+            liveness: Liveness::new(now, times.heartbeat_ms, times.silence_ms),
+            last_heard_at: now,
+            is_monitored: false,
+        }
+    }
+
+    /// Starts monitoring. The silence limit counts from now, or from the earlier start if the
+    /// connection is monitored already.
+    pub fn start_monitoring(&mut self, now: Instant, times: &LinkTimes) {
+        if !self.is_monitored {
+            self.is_monitored = true;
+            self.liveness = Liveness::new(now, times.heartbeat_ms, times.silence_ms);
+        }
+    }
+
+    pub fn tick(&mut self, now: Instant, times: &LinkTimes) -> Pulse {
+        if self.is_monitored {
+            return self.liveness.tick(now);
+        }
+        if now.saturating_duration_since(self.last_heard_at) < times.idle_ms {
+            return Pulse::Fine;
+        }
+        self.start_monitoring(now, times);
+        Pulse::Ping
+    }
+}
--- a/components/entry/src/core/links.rs
+++ b/components/entry/src/core/links.rs
@@ -1,11 +1,11 @@
-//! One connection to the agent of each target.
+//! Connections to agents, one for each target.
 //!
-//! A connection is replaced when it breaks, goes silent, or leads to another run of the agent
-//! than the one it was opened to. Failed attempts to connect back off up to a limit.
+//! A connection is replaced when it fails, becomes silent, or its target's row names another
+//! address or incarnation of the agent. Failed attempts to connect back off exponentially.
 //!
-//! A connection is watched, that is pinged and replaced when silent, while something is in
-//! flight on it or a probe of its target is unanswered. The first message on one that was idle
-//! starts the watch, so that a silent one is replaced within the same time.
+//! A connection is monitored, which means pinged and replaced when silent, while a request is in
+//! flight on it or a probe of its target is unanswered. The first message on an idle connection
+//! starts monitoring, so that a dead one is replaced within the silence limit as well.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,28 +18,28 @@
 use wire::ToAgent;
 use wire::liveness::Pulse;
 
-use crate::core::beat::Beat;
+use crate::core::keepalive::Keepalive;
 
-/// Number of a connection; never used twice in one run of the entry.
+/// Id of a connection, unique within a run of the entry.
 pub type LinkId = u64;
 
-/// Bounds the exponent of the back-off; the limit in `LinkTimes` applies long before.
+/// Bounds the exponent of the back-off. `LinkTimes::backoff_limit_ms` applies long before.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Times of the connections.
+/// Heartbeat, timeout and back-off times.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkTimes {
-    /// Silence before a ping on a connection that is watched.
+    /// Silence before a ping on a monitored connection.
     pub heartbeat_ms: Duration,
-    /// Silence before the connection is replaced.
+    /// Silence before a monitored connection is replaced.
     pub silence_ms: Duration,
-    /// Silence before a ping on one that is not, so that both ends forget a dead one.
+    /// Silence before a ping on any other connection, so that both ends detect a dead one.
     pub idle_ms: Duration,
-    /// Time for opening a connection.
+    /// Timeout of opening a connection.
     pub connect_ms: Duration,
-    /// Wait after the first failure; doubles with each further one.
+    /// Delay after the first failure; doubles with each further one.
     pub backoff_ms: Duration,
-    /// Longest wait.
+    /// Maximum delay.
     pub backoff_limit_ms: Duration,
 }
 
@@ -56,47 +56,47 @@
     }
 }
 
-/// What the connections ask for.
+/// Output of [`Links`].
 #[derive(Debug, PartialEq)]
 pub enum LinkAction {
     /// Open a connection.
     Open {
-        /// Number of the new connection.
+        /// Id of the new connection.
         link: LinkId,
-        /// Target that it must lead to.
+        /// Target that the agent has to confirm.
         target: TargetName,
         /// Address of the target's agent.
         address: SocketAddr,
     },
-    /// Close a connection, whatever its state.
+    /// Close a connection, in any state.
     Close {
-        /// Connection concerned.
+        /// Id of the connection.
         link: LinkId,
     },
     /// Send a message.
     Send {
-        /// Connection concerned.
+        /// Id of the connection.
         link: LinkId,
-        /// The message.
+        /// A ping.
         message: ToAgent,
     },
-    /// The target can be reached.
+    /// The connection to a target is established.
     Up {
-        /// Target concerned.
+        /// Name of the target.
         target: TargetName,
-        /// Run of its agent.
+        /// Incarnation of its agent.
         incarnation: Incarnation,
     },
-    /// The target cannot be reached for now.
+    /// The established connection to a target was lost.
     Down {
-        /// Target concerned.
+        /// Name of the target.
         target: TargetName,
     },
-    /// A run of the target's agent has ended.
+    /// An incarnation of the agent of a target has ended.
     IncarnationGone {
-        /// Target concerned.
+        /// Name of the target.
         target: TargetName,
-        /// The run that ended.
+        /// The ended incarnation.
         incarnation: Incarnation,
     },
 }
@@ -104,19 +104,23 @@
 enum State {
     Waiting { until: Instant },
     Opening { link: LinkId, since: Instant },
-    Up { link: LinkId, beat: Beat },
+    Up { link: LinkId, keepalive: Keepalive },
 }
 
-struct Link {
+struct Connection {
     address: SocketAddr,
     state: State,
     failures: u32,
     incarnation: Option<Incarnation>,
 }
 
-impl Link {
-    /// Takes note of the run of the agent; tells if it takes the place of another one.
-    fn take_run(&mut self, target: &TargetName, incarnation: Incarnation) -> Option<LinkAction> {
+impl Connection {
+    /// Sets the incarnation of the agent; returns an action if it replaces another one.
+    fn replace_incarnation(
+        &mut self,
+        target: &TargetName,
+        incarnation: Incarnation,
+    ) -> Option<LinkAction> {
         let old = self.incarnation.replace(incarnation)?;
         (old != incarnation).then(|| LinkAction::IncarnationGone {
             target: target.clone(),
@@ -125,29 +129,29 @@
     }
 }
 
-/// Connections to all targets of this entry.
+/// Connections to the agents of all targets of this entry.
 pub struct Links {
     times: LinkTimes,
-    next: LinkId,
-    by_target: BTreeMap<TargetName, Link>,
-    target_of: HashMap<LinkId, TargetName>,
+    next_id: LinkId,
+    connections: BTreeMap<TargetName, Connection>,
+    targets_by_link: HashMap<LinkId, TargetName>,
     nonce: u64,
 }
 
 impl Links {
-    /// Starts without targets.
+    /// Creates an empty set of connections.
     #[must_use]
     pub fn new(times: LinkTimes) -> Self {
         Self {
             times,
-            next: 1,
-            by_target: BTreeMap::new(),
-            target_of: HashMap::new(),
+            next_id: 1,
+            connections: BTreeMap::new(),
+            targets_by_link: HashMap::new(),
             nonce: 0,
         }
     }
 
-    /// Adds a target, or takes note of its new address or run.
+    /// Adds a target, or updates its address or incarnation.
     pub fn set(
         &mut self,
         now: Instant,
@@ -155,31 +159,36 @@
         address: SocketAddr,
         incarnation: Incarnation,
     ) -> Vec<LinkAction> {
-        let link = self
-            .by_target
+        let connection = self
+            .connections
             .entry(target.clone())
-            .or_insert_with(|| Link {
+            .or_insert_with(|| Connection {
                 address,
                 state: State::Waiting { until: now },
                 failures: 0,
                 incarnation: None,
             });
-        let mut actions = Vec::from_iter(link.take_run(target, incarnation));
-        let moved = std::mem::replace(&mut link.address, address) != address;
-        if moved || !actions.is_empty() {
-            link.failures = 0;
-            actions.extend(disconnect(&mut self.target_of, target, link, now));
+        let mut actions = Vec::from_iter(connection.replace_incarnation(target, incarnation));
+        let is_moved = std::mem::replace(&mut connection.address, address) != address;
+        if is_moved || !actions.is_empty() {
+            connection.failures = 0;
+            actions.extend(disconnect(
+                &mut self.targets_by_link,
+                target,
+                connection,
+                now,
+            ));
         }
         actions
     }
 
-    /// Removes a target.
+    /// Removes a target whose row is gone, which ends the incarnation of its agent.
     pub fn remove(&mut self, now: Instant, target: &TargetName) -> Vec<LinkAction> {
-        let Some(mut link) = self.by_target.remove(target) else {
+        let Some(mut connection) = self.connections.remove(target) else {
             return Vec::new();
         };
-        let mut actions = disconnect(&mut self.target_of, target, &mut link, now);
-        if let Some(incarnation) = link.incarnation {
+        let mut actions = disconnect(&mut self.targets_by_link, target, &mut connection, now);
+        if let Some(incarnation) = connection.incarnation {
             actions.push(LinkAction::IncarnationGone {
                 target: target.clone(),
                 incarnation,
@@ -188,15 +197,15 @@
         actions
     }
 
-    /// Forgets a target whose agent goes on running.
+    /// Removes a target whose agent continues to run.
     pub fn release(&mut self, now: Instant, target: &TargetName) -> Vec<LinkAction> {
         let mut actions = self.remove(now, target);
         actions.retain(|action| !matches!(action, LinkAction::IncarnationGone { .. }));
         actions
     }
 
-    /// The agent answered `Hello` on a connection.
-    pub fn welcomed(
+    /// Handles `Welcome`, the answer of the agent to `Hello`.
+    pub fn connection_established(
         &mut self,
         now: Instant,
         link: LinkId,
@@ -204,17 +213,17 @@
         incarnation: Incarnation,
     ) -> Vec<LinkAction> {
         let times = self.times;
-        let Some((name, entry)) = self.find(link) else {
+        let Some((name, connection)) = self.connection_of(link) else {
             return vec![LinkAction::Close { link }];
         };
         if name != *target {
-            return self.closed(now, link);
+            return self.connection_closed(now, link);
         }
-        let mut actions = Vec::from_iter(entry.take_run(&name, incarnation));
-        entry.failures = 0;
-        entry.state = State::Up {
+        let mut actions = Vec::from_iter(connection.replace_incarnation(&name, incarnation));
+        connection.failures = 0;
+        connection.state = State::Up {
             link,
-            beat: Beat::new(now, &times),
+            keepalive: Keepalive::new(now, &times),
         };
         actions.push(LinkAction::Up {
             target: name,
@@ -223,86 +232,92 @@
         actions
     }
 
-    /// A message arrived. Returns the target and the run of its agent, or `None` if the
-    /// connection is not in use any more.
-    pub fn heard(&mut self, now: Instant, link: LinkId) -> Option<(TargetName, Incarnation)> {
-        let name = self.target_of.get(&link)?;
-        let entry = self.by_target.get_mut(name)?;
-        let State::Up { beat, .. } = &mut entry.state else {
+    /// Handles the arrival of a message. Returns the target and the incarnation of its agent, or
+    /// `None` if the connection is no longer in use.
+    pub fn message_received(
+        &mut self,
+        now: Instant,
+        link: LinkId,
+    ) -> Option<(TargetName, Incarnation)> {
+        let name = self.targets_by_link.get(&link)?;
+        let connection = self.connections.get_mut(name)?;
+        let State::Up { keepalive, .. } = &mut connection.state else {
             return None;
         };
-        beat.heard = now;
-        beat.liveness.heard(now);
-        Some((name.clone(), entry.incarnation?))
+        keepalive.last_heard_at = now;
+        keepalive.liveness.heard(now);
+        Some((name.clone(), connection.incarnation?))
     }
 
-    /// A connection ended or could not be opened.
-    pub fn closed(&mut self, now: Instant, link: LinkId) -> Vec<LinkAction> {
-        let Some(name) = self.target_of.get(&link).cloned() else {
+    /// Handles the end of a connection, or a failure to open it.
+    pub fn connection_closed(&mut self, now: Instant, link: LinkId) -> Vec<LinkAction> {
+        let Some(name) = self.targets_by_link.get(&link).cloned() else {
             return Vec::new();
         };
-        let Some(entry) = self.by_target.get_mut(&name) else {
+        let Some(connection) = self.connections.get_mut(&name) else {
             return Vec::new();
         };
-        let actions = disconnect(&mut self.target_of, &name, entry, now);
-        let doublings = entry.failures.min(MAX_DOUBLINGS);
-        entry.failures += 1;
-        let wait = self.times.backoff_ms.saturating_mul(1 << doublings);
-        entry.state = State::Waiting {
-            until: now + wait.min(self.times.backoff_limit_ms),
+        let actions = disconnect(&mut self.targets_by_link, &name, connection, now);
+        let doublings = connection.failures.min(MAX_DOUBLINGS);
+        connection.failures += 1;
+        let backoff = self.times.backoff_ms.saturating_mul(1 << doublings);
+        connection.state = State::Waiting {
+            until: now + backoff.min(self.times.backoff_limit_ms),
         };
         actions
     }
 
-    /// A message that has to be answered goes out on a connection.
-    pub fn sent(&mut self, now: Instant, link: LinkId) {
-        let name = self.target_of.get(&link);
-        if let Some(entry) = name.and_then(|name| self.by_target.get_mut(name))
-            && let State::Up { beat, .. } = &mut entry.state
+    /// Handles the sending of a message that has to be answered.
+    pub fn message_sent(&mut self, now: Instant, link: LinkId) {
+        let name = self.targets_by_link.get(&link);
+        if let Some(connection) = name.and_then(|name| self.connections.get_mut(name))
+            && let State::Up { keepalive, .. } = &mut connection.state
         {
-            beat.watch(now, &self.times);
+            keepalive.start_monitoring(now, &self.times);
         }
     }
 
-    /// Watches the connections to these targets, and the others no longer if they were heard
-    /// of since the last heartbeat.
-    pub fn watch(&mut self, now: Instant, is_in_use: impl Fn(&TargetName) -> bool) {
-        for (name, link) in &mut self.by_target {
-            let State::Up { beat, .. } = &mut link.state else {
+    /// Starts to monitor the connections in use. Stops to monitor another one if a message arrived
+    /// on it within the last heartbeat interval.
+    pub fn set_monitored(&mut self, now: Instant, is_in_use: impl Fn(&TargetName) -> bool) {
+        for (name, connection) in &mut self.connections {
+            let State::Up { keepalive, .. } = &mut connection.state else {
                 continue;
             };
             if is_in_use(name) {
-                beat.watch(now, &self.times);
-            } else if now.saturating_duration_since(beat.heard) < self.times.heartbeat_ms {
-                beat.is_watched = false;
+                keepalive.start_monitoring(now, &self.times);
+            } else if now.saturating_duration_since(keepalive.last_heard_at)
+                < self.times.heartbeat_ms
+            {
+                keepalive.is_monitored = false;
             }
         }
     }
 
-    /// Opens, pings and replaces connections.
+    /// Opens, pings and replaces connections that are due.
     pub fn tick(&mut self, now: Instant) -> Vec<LinkAction> {
         let mut actions = Vec::new();
         let mut failed = Vec::new();
-        for (name, link) in &mut self.by_target {
-            match &mut link.state {
+        for (name, connection) in &mut self.connections {
+            match &mut connection.state {
                 State::Waiting { until } if *until <= now => {
-                    let id = self.next;
-                    self.next += 1;
-                    self.target_of.insert(id, name.clone());
-                    link.state = State::Opening {
+                    let id = self.next_id;
+                    self.next_id += 1;
+                    self.targets_by_link.insert(id, name.clone());
+                    connection.state = State::Opening {
                         link: id,
                         since: now,
                     };
                     actions.push(LinkAction::Open {
                         link: id,
                         target: name.clone(),
-                        address: link.address,
+                        address: connection.address,
                     });
                 }
                 State::Opening { link, since } if *since + self.times.connect_ms <= now => {
                     failed.push(*link);
                 }
-                State::Up { link, beat } => match beat.tick(now, &self.times) {
+                State::Up { link, keepalive } => match keepalive.tick(now, &self.times) {
                     Pulse::Fine => {}
                     Pulse::Ping => {
                         self.nonce += 1;
@@ -317,53 +332,53 @@
             }
         }
         for link in failed {
-            actions.extend(self.closed(now, link));
+            actions.extend(self.connection_closed(now, link));
         }
         actions
     }
 
-    /// Connection in use for a target.
+    /// Id of the established connection to a target.
     #[must_use]
     pub fn link(&self, target: &TargetName) -> Option<LinkId> {
-        match self.by_target.get(target)?.state {
+        match self.connections.get(target)?.state {
             State::Up { link, .. } => Some(link),
             _ => None,
         }
     }
 
-    /// Targets, with the address of their agent.
+    /// Targets with the addresses of their agents.
     pub fn targets(&self) -> impl Iterator<Item = (&TargetName, SocketAddr)> {
-        self.by_target
+        self.connections
             .iter()
-            .map(|(name, link)| (name, link.address))
+            .map(|(name, connection)| (name, connection.address))
     }
 
-    fn find(&mut self, id: LinkId) -> Option<(TargetName, &mut Link)> {
-        let name = self.target_of.get(&id)?.clone();
-        let link = self.by_target.get_mut(&name)?;
-        Some((name, link))
+    fn connection_of(&mut self, id: LinkId) -> Option<(TargetName, &mut Connection)> {
+        let name = self.targets_by_link.get(&id)?.clone();
+        let connection = self.connections.get_mut(&name)?;
+        Some((name, connection))
     }
 }
 
-/// Forgets the connection of a target, so that its late messages are dropped.
+/// Drops the connection to a target; messages that still arrive on it are ignored.
 fn disconnect(
-    target_of: &mut HashMap<LinkId, TargetName>,
+    targets_by_link: &mut HashMap<LinkId, TargetName>,
     target: &TargetName,
-    entry: &mut Link,
+    connection: &mut Connection,
     now: Instant,
 ) -> Vec<LinkAction> {
-    let before = std::mem::replace(&mut entry.state, State::Waiting { until: now });
+    let before = std::mem::replace(&mut connection.state, State::Waiting { until: now });
     match before {
         State::Waiting { until } => {
-            entry.state = State::Waiting { until };
+            connection.state = State::Waiting { until };
             Vec::new()
         }
         State::Opening { link, .. } => {
-            target_of.remove(&link);
+            targets_by_link.remove(&link);
             vec![LinkAction::Close { link }]
         }
         State::Up { link, .. } => {
-            target_of.remove(&link);
+            targets_by_link.remove(&link);
             let down = LinkAction::Down {
                 target: target.clone(),
             };
--- a/components/entry/src/core/mod.rs
+++ b/components/entry/src/core/mod.rs
@@ -1,25 +1,25 @@
-//! Decisions of an entry, composed from the state machines of the other components.
+//! Core of an entry: a state machine composed of those of the other components.
 //!
 //! `EntryCore::handle` takes one event and returns the actions to carry out, in order. It does
 //! no I/O, reads no clock, and takes all randomness from its seed, so that the daemon and
-//! randomised runs in virtual time drive the same code.
+//! randomised simulations in virtual time run the same code.
 
-mod beat;
 mod configuration;
-mod duties;
 pub mod event;
 pub mod hints;
-mod journal;
+mod history;
+mod keepalive;
+mod leases;
 pub mod links;
 pub mod note;
-pub mod operations;
 pub mod options;
+pub mod pending_calls;
 mod planning;
 pub mod probes;
 mod report;
 mod router;
 pub mod share;
-mod sharing;
+mod share_updates;
 mod traffic;
 
 use std::collections::BTreeMap;
@@ -45,88 +45,89 @@
 pub use note::Note;
 pub use options::CoreOptions;
 
-use crate::core::duties::Duties;
-use crate::core::hints::Hints;
-use crate::core::journal::Journal;
+use crate::core::hints::OrderHints;
+use crate::core::history::RequestHistory;
+use crate::core::leases::Leases;
 use crate::core::links::Links;
-use crate::core::operations::Operations;
-use crate::core::operations::Owner;
+use crate::core::pending_calls::Owner;
+use crate::core::pending_calls::PendingCalls;
 use crate::core::planning::Plan;
 use crate::core::probes::Probes;
 use crate::core::router::PlanningRouter;
 use crate::core::share::Shares;
-use crate::core::traffic::note_down;
+use crate::core::traffic::log_lost_connections;
 
-/// Longest time between two ticks; bounds how late silence and probes are noticed.
-const TICK_MS: Duration = Duration::from_millis(50);
+/// Maximum time between ticks. Probes are sent and silent connections detected up to this late.
+const TICK_INTERVAL_MS: Duration = Duration::from_millis(50);
 
-/// Between two looks at which connections are in use; each one goes over all requests.
-const WATCH_MS: Duration = Duration::from_millis(250);
-/// Logged for a connection that is replaced without having been closed.
-const SILENT: &str = "silent for too long";
+/// Interval of updating which connections are monitored. Each update iterates over all requests.
+const MONITOR_UPDATE_MS: Duration = Duration::from_millis(250);
+/// Logged for a connection that is replaced because its agent is silent.
+const SILENCE_DETAIL: &str = "no message within the silence limit";
 
-/// State of an entry.
+/// State machine of an entry.
 pub struct EntryCore {
     options: CoreOptions,
     incarnation: Incarnation,
-    counter: u64,
+    request_counter: u64,
     follower: Follower,
     terms: BTreeMap<ServiceName, Terms>,
     applied: Option<Rc<Snapshot>>,
     router: PlanningRouter,
     requests: Requests,
     links: Links,
-    watch_due: Instant,
+    next_monitor_update_at: Instant,
     shares: Shares,
-    shares_due: Instant,
-    /// Connected targets outside the share, with the time until which they are kept.
-    outside: BTreeMap<TargetName, Instant>,
+    next_share_update_at: Instant,
+    /// Connected targets outside the share, with the time at which they can be disconnected.
+    outside_share: BTreeMap<TargetName, Instant>,
     probes: Probes,
-    duties: Duties,
-    operations: Operations,
-    journal: Journal,
-    hints: Hints,
+    leases: Leases,
+    pending_calls: PendingCalls,
+    history: RequestHistory,
+    order_hints: OrderHints,
     leaving_hosts: BTreeSet<HostName>,
-    hosts_due: Instant,
-    hosts_failing: bool,
-    objects_failing: bool,
+    next_hosts_poll_at: Instant,
+    is_host_list_failing: bool,
+    is_object_store_failing: bool,
     plans: BTreeMap<ServiceName, Plan>,
-    plans_due: Instant,
+    next_planning_at: Instant,
     next_peer: usize,
     next_tick: Instant,
     leaving_since: Option<Instant>,
 }
 
 impl EntryCore {
-    /// Starts without configuration. The incarnation is random and new for each run.
+    /// Creates a core without configuration. The incarnation has to be random and unique to this
+    /// run of the process.
     #[must_use]
     pub fn new(options: CoreOptions, incarnation: Incarnation, now: Instant) -> Self {
         let seed = incarnation;
         let peers = options.peers.clone();
         Self {
             incarnation,
-            counter: 0,
+            request_counter: 0,
             follower: Follower::new(options.follower, now, seed),
             terms: BTreeMap::new(),
             applied: None,
             router: PlanningRouter::new(options.routing.clone(), seed),
             requests: Requests::new(incarnation, seed),
             links: Links::new(options.links),
-            watch_due: now,
+            next_monitor_update_at: now,
             shares: Shares::new(options.share_targets, options.address, &peers),
-            shares_due: now,
-            outside: BTreeMap::new(),
+            next_share_update_at: now,
+            outside_share: BTreeMap::new(),
             probes: Probes::new(now, incarnation, options.probe_ms, peers),
-            duties: Duties::new(incarnation, &options, now),
-            operations: Operations::default(),
-            journal: Journal::default(),
-            hints: Hints::default(),
+            leases: Leases::new(incarnation, &options, now),
+            pending_calls: PendingCalls::default(),
+            history: RequestHistory::default(),
+            order_hints: OrderHints::default(),
             leaving_hosts: BTreeSet::new(),
-            hosts_due: now,
-            hosts_failing: false,
-            objects_failing: false,
+            next_hosts_poll_at: now,
+            is_host_list_failing: false,
+            is_object_store_failing: false,
             plans: BTreeMap::new(),
-            plans_due: now,
+            next_planning_at: now,
             next_peer: 0,
             next_tick: now,
             leaving_since: None,
@@ -134,109 +135,109 @@
         }
     }
 
-    /// Run of this process.
+    /// Incarnation of this process.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Id for the next request.
+    /// Allocates the id of a new request.
     pub fn new_request(&mut self) -> RequestId {
-        self.counter += 1;
-        request_id(self.incarnation, self.counter)
+        self.request_counter += 1;
+        request_id(self.incarnation, self.request_counter)
     }
 
-    /// What requests to a service are bound to now.
+    /// Current terms of requests to a service: profile, revision and kind.
     #[must_use]
     pub fn terms(&self, service: &str) -> Option<&Terms> {
         self.terms.get(service)
     }
 
-    /// Latest snapshot; `None` until the first one was read.
+    /// Latest configuration snapshot; `None` before the first one was read.
     #[must_use]
     pub fn snapshot(&self) -> Option<&Rc<Snapshot>> {
         self.follower.snapshot()
     }
 
-    /// Whether the entry was told to stop.
+    /// Whether `Event::Leaving` was handled.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.leaving_since.is_some()
     }
 
-    /// Whether nothing is left to do after `Event::Leaving`. Writes that the table does not take
-    /// within the duration of a lease are given up: leases lapse by then, and a claim without
-    /// its outcome leads a resend to the agent that has the answer.
+    /// Whether the process can exit after `Event::Leaving`. Pending table writes are abandoned
+    /// after the duration of a lease: by then the leases have expired, and a resend of a request
+    /// whose claim has no outcome is directed to the agent that has the answer.
     #[must_use]
     pub fn is_idle(&self, now: Instant) -> bool {
-        if self.requests.is_idle() && self.duties.is_released() {
+        if self.requests.is_idle() && self.leases.is_released() {
             return true;
         }
         let is_overdue = |since| now.saturating_duration_since(since) >= self.options.lease_ms;
         self.requests.is_served() && self.leaving_since.is_some_and(is_overdue)
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.requests.open()
     }
 
-    /// Pairs in the prefix-cache index.
+    /// Number of pairs in the prefix-cache index.
     #[must_use]
     pub fn cache_hints(&self) -> usize {
         self.router.fleet.index_len()
     }
 
-    /// When `Event::Tick` is needed next.
+    /// Time of the next `Event::Tick`.
     #[must_use]
     pub fn next_wake(&self) -> Instant {
         let requests = self.requests.next_tick();
         requests.map_or(self.next_tick, |at| at.min(self.next_tick))
     }
 
-    /// Takes one event.
+    /// Handles an event and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Submitted {
                 request,
                 submission,
-            } => self.submitted(now, request, submission, &mut actions),
+            } => self.submit_request(now, request, submission, &mut actions),
             Event::Consumed { request, bytes } => {
                 let event = request::Event::Consumed { request, bytes };
-                self.tell_requests(now, event, &mut actions);
+                self.handle_request_event(now, event, &mut actions);
             }
             Event::CallerGone { request } => {
                 let event = request::Event::CallerGone { request };
-                self.tell_requests(now, event, &mut actions);
+                self.handle_request_event(now, event, &mut actions);
             }
             Event::LinkMessage { link, message } => {
-                self.link_message(now, link, message, &mut actions);
+                self.handle_link_message(now, link, message, &mut actions);
             }
             Event::LinkClosed { link, detail } => {
-                self.link_closed(now, link, detail, &mut actions);
+                self.handle_link_closed(now, link, detail, &mut actions);
             }
-            Event::Datagram(datagram) => self.datagram(now, datagram, &mut actions),
+            Event::Datagram(datagram) => self.handle_datagram(now, datagram, &mut actions),
             Event::TableDone { operation, result } => {
-                self.table_done(now, operation, result, &mut actions);
+                self.handle_table_result(now, operation, result, &mut actions);
             }
             Event::ObjectDone { operation, result } => {
-                self.object_done(now, operation, result, &mut actions);
+                self.handle_object_result(now, operation, result, &mut actions);
             }
-            Event::Hosts(result) => self.hosts(now, result, &mut actions),
+            Event::Hosts(result) => self.update_hosts(now, result, &mut actions),
             Event::PeerAsks { peer, after } => {
                 let event = FollowerEvent::PeerAsks { peer, after };
-                self.tell_follower(now, event, &mut actions);
+                self.handle_follower_event(now, event, &mut actions);
             }
             Event::PeerAnswered { peer, answer } => {
                 let event = FollowerEvent::PeerAnswered { peer, answer };
-                self.tell_follower(now, event, &mut actions);
+                self.handle_follower_event(now, event, &mut actions);
             }
             Event::OrderPlanned { service, error } => {
-                self.order_planned(service, error, &mut actions);
+                self.handle_order_result(service, error, &mut actions);
             }
-            Event::Leaving => self.leave(now, &mut actions),
+            Event::Leaving => self.stop(now, &mut actions),
             Event::Tick => {}
         }
         self.tick(now, &mut actions);
@@ -245,19 +246,19 @@
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.requests.next_tick().is_some_and(|at| at <= now) {
-            self.tell_requests(now, request::Event::Tick, actions);
+            self.handle_request_event(now, request::Event::Tick, actions);
         }
         if now < self.next_tick {
             return;
         }
-        self.next_tick = now + TICK_MS;
+        self.next_tick = now + TICK_INTERVAL_MS;
         if self.follower.next_wake() <= now {
-            self.tell_follower(now, FollowerEvent::Tick, actions);
+            self.handle_follower_event(now, FollowerEvent::Tick, actions);
         }
-        self.watch_links(now);
+        self.update_link_monitoring(now);
         let links = self.links.tick(now);
-        note_down(&links, SILENT, actions);
-        self.carry_out_links(now, links, actions);
+        log_lost_connections(&links, SILENCE_DETAIL, actions);
+        self.apply_link_actions(now, links, actions);
         let head = self.follower.applied();
         let is_current = self.follower.is_current(now);
         let outgoing = self.probes.tick(now, head, self.links.targets());
@@ -269,43 +270,43 @@
                 probes::without_head(out.datagram)
             },
         }));
-        if now >= self.hosts_due {
-            self.hosts_due = now + self.options.hosts_poll_ms;
+        if now >= self.next_hosts_poll_at {
+            self.next_hosts_poll_at = now + self.options.hosts_poll_ms;
             actions.push(Action::ReadHosts);
         }
-        self.tick_duties(now, actions);
+        self.tick_leases(now, actions);
         self.tick_share(now, actions);
-        self.tick_planning(now, actions);
+        self.tick_planners(now, actions);
     }
 
-    fn watch_links(&mut self, now: Instant) {
-        if now < self.watch_due {
+    fn update_link_monitoring(&mut self, now: Instant) {
+        if now < self.next_monitor_update_at {
             return;
         }
-        self.watch_due = now + WATCH_MS;
-        self.hints.forget_old(now);
+        self.next_monitor_update_at = now + MONITOR_UPDATE_MS;
+        self.order_hints.remove_expired(now);
         let in_use = self.requests.targets_in_use();
-        let (probes, hints) = (&self.probes, &self.hints);
+        let (probes, hints) = (&self.probes, &self.order_hints);
         let is_in_use = |target: &TargetName| {
-            in_use.contains(target) || probes.is_unanswered(target) || hints.is_fresh(target)
+            in_use.contains(target) || probes.is_unanswered(target) || hints.is_recent(target)
         };
-        self.links.watch(now, is_in_use);
+        self.links.set_monitored(now, is_in_use);
     }
 
-    fn leave(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn stop(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.leaving_since = Some(now);
         actions.push(Action::Note(Note::Stopping {
             in_flight: self.requests.open(),
         }));
-        self.tell_requests(now, request::Event::Leaving, actions);
-        self.release_duties(now, actions);
+        self.handle_request_event(now, request::Event::Leaving, actions);
+        self.release_leases(now, actions);
     }
 
-    fn begin(&mut self, owner: Owner, operation: u64) -> u64 {
-        self.operations.begin(owner, operation)
+    fn begin_call(&mut self, owner: Owner, operation: u64) -> u64 {
+        self.pending_calls.begin(owner, operation)
     }
 
-    fn order_planned(
+    fn handle_order_result(
         &mut self,
         service: ServiceName,
         error: Option<String>,
--- a/components/entry/src/core/note.rs
+++ b/components/entry/src/core/note.rs
@@ -1,4 +1,4 @@
-//! Log events of an entry. `docs/log-events.md` is their catalogue.
+//! Log events of an entry, listed in `docs/log-events.md`.
 
 use std::rc::Rc;
 
@@ -8,12 +8,12 @@
 use types::Revision;
 use types::TargetName;
 
-/// One log event.
+/// Log event.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Note {
-    /// The daemon serves.
+    /// The daemon has started to serve.
     Started {
-        /// Run of this process.
+        /// Incarnation of this process.
         incarnation: Incarnation,
     },
     /// The daemon was asked to stop.
@@ -21,103 +21,103 @@
         /// Requests in flight.
         in_flight: usize,
     },
-    /// The daemon has finished everything.
+    /// The daemon has finished all requests and released its leases.
     Stopped,
-    /// A newer snapshot is in force.
+    /// A newer snapshot was applied.
     ConfigurationApplied {
-        /// Its revision.
+        /// Revision of the snapshot.
         revision: Revision,
     },
-    /// A record or snapshot was not understood and was not applied.
+    /// A record or snapshot could not be decoded and was not applied.
     ConfigurationRejected {
-        /// What is wrong.
+        /// Error.
         detail: String,
     },
-    /// A target can be reached.
+    /// A connection to the agent of a target was established.
     TargetUp {
-        /// Target concerned.
+        /// Name of the target.
         target: TargetName,
-        /// Run of its agent.
+        /// Incarnation of its agent.
         incarnation: Incarnation,
     },
-    /// A target cannot be reached for now.
+    /// The connection to the agent of a target was lost.
     TargetDown {
-        /// Target concerned.
+        /// Name of the target.
         target: TargetName,
-        /// Error, if there was one.
+        /// Error that ended the connection.
         detail: String,
     },
-    /// A run of an agent has ended.
-    AgentGone {
-        /// Target concerned.
+    /// An incarnation of an agent has ended, by a restart or the removal of its target.
+    AgentRunEnded {
+        /// Name of the target.
         target: TargetName,
-        /// The run that ended.
+        /// The ended incarnation.
         incarnation: Incarnation,
     },
     /// A request has ended.
     RequestSettled {
-        /// Request concerned.
+        /// Id from `EntryCore::new_request`.
         request: RequestId,
-        /// Its figures.
+        /// Outcome, attempts, times and token usage.
         summary: Rc<Summary>,
     },
-    /// A lease was taken.
+    /// This entry acquired a lease.
     LeaseAcquired {
-        /// Its scope.
+        /// Service name.
         scope: String,
-        /// Its fencing number.
+        /// Fencing number of the lease.
         fencing: u64,
     },
-    /// A lease was lost or given back.
+    /// This entry lost or released a lease.
     LeaseLost {
-        /// Its scope.
+        /// Service name.
         scope: String,
     },
-    /// A planner wrote an order.
+    /// The planner decided on an order, which is written next.
     OrderPlanned {
-        /// Service planned for.
+        /// Service of the target.
         service: String,
-        /// Target concerned.
+        /// Name of the target.
         target: TargetName,
-        /// Why.
+        /// Decision with its figures.
         reason: String,
     },
     /// A planned order could not be written.
     OrderNotWritten {
-        /// Service planned for.
+        /// Service of the target.
         service: String,
-        /// Why.
+        /// Error.
         detail: String,
     },
     /// The host list could not be read.
     HostListFailed {
-        /// Why.
+        /// Error.
         detail: String,
     },
-    /// The object store did not answer, or refused a call.
+    /// A call to the object store failed.
     ObjectStoreFailed {
-        /// Why.
+        /// Error.
         detail: String,
     },
-    /// A datagram was refused.
+    /// A received datagram was refused, or one could not be encoded.
     DatagramRefused {
-        /// Why.
+        /// Error.
         detail: String,
     },
-    /// A connection from another process was refused.
+    /// A connection from another entry was refused or failed.
     PeerRefused {
-        /// Why.
+        /// Error.
         detail: String,
     },
-    /// Settings were reloaded, or could not be.
+    /// A reload of the settings succeeded or failed.
     SettingsReloaded {
-        /// Error, if they were not taken over.
+        /// Error; `None` if the new settings apply.
         error: Option<String>,
     },
 }
 
 impl Note {
-    /// Number in the catalogue.
+    /// Event number in `docs/log-events.md`.
     #[must_use]
     pub fn code(&self) -> &'static str {
         match self {
@@ -129,7 +129,7 @@
             Self::ConfigurationRejected { .. } => "CS1102",
             Self::TargetUp { .. } => "CS1201",
             Self::TargetDown { .. } => "CS1202",
-            Self::AgentGone { .. } => "CS1203",
+            Self::AgentRunEnded { .. } => "CS1203",
             Self::HostListFailed { .. } => "CS1204",
             Self::DatagramRefused { .. } => "CS1205",
             Self::PeerRefused { .. } => "CS1206",
--- a/components/entry/src/core/options.rs
+++ b/components/entry/src/core/options.rs
@@ -1,4 +1,4 @@
-//! Options of the decisions of an entry, taken from its settings.
+//! Options of the core.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,23 +10,23 @@
 /// Options of an [`crate::core::EntryCore`].
 #[derive(Debug, Clone)]
 pub struct CoreOptions {
-    /// Name of the entry.
+    /// Name of the entry in status reports.
     pub name: String,
-    /// Routing rules.
+    /// Settings of target selection.
     pub routing: routing::Settings,
-    /// Times of the follower.
+    /// Options of the change-log follower.
     pub follower: FollowerOptions,
-    /// Times of the connections.
+    /// Heartbeat, timeout and back-off times of connections to agents.
     pub links: LinkTimes,
-    /// Targets of a service that the entry uses.
+    /// Minimum number of targets of a service that the entry uses.
     pub share_targets: usize,
-    /// Between two probes of a target.
+    /// Interval of probes to a target.
     pub probe_ms: Duration,
-    /// Between two reads of the host list.
+    /// Interval of reads of the host list.
     pub hosts_poll_ms: Duration,
     /// Duration of a lease.
     pub lease_ms: Duration,
-    /// Own address for peers.
+    /// Address on which other entries connect to this one.
     pub address: SocketAddr,
     /// Addresses of the other entries.
     pub peers: Vec<SocketAddr>,
--- a/components/entry/src/core/operations.rs
+++ b/components/entry/src/core/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Which state machine made which call to the table or the object store.
+//! Maps pending calls to the table and the object store to the state machines that made them.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 pub enum Owner {
     /// Follower of the change log.
     Follower,
-    /// Requests, for claims.
+    /// Requests, for claims and stored answers.
     Requests,
     /// Lease of a service.
     Lease(ServiceName),
@@ -19,23 +19,23 @@
     Sweep,
 }
 
-/// Calls under way, numbered across all state machines.
+/// Pending calls, numbered across all state machines.
 #[derive(Debug, Default)]
-pub struct Operations {
+pub struct PendingCalls {
     last: u64,
-    open: HashMap<u64, (Owner, u64)>,
+    pending: HashMap<u64, (Owner, u64)>,
 }
 
-impl Operations {
-    /// Takes note of a call; returns its number in this process.
+impl PendingCalls {
+    /// Adds a call and returns its number, which is unique in this process.
     pub fn begin(&mut self, owner: Owner, operation: u64) -> u64 {
         self.last += 1;
-        self.open.insert(self.last, (owner, operation));
+        self.pending.insert(self.last, (owner, operation));
         self.last
     }
 
-    /// Ends a call; returns its owner and the owner's number.
+    /// Removes a call; returns its owner and the number that the owner gave it.
     pub fn end(&mut self, operation: u64) -> Option<(Owner, u64)> {
-        self.open.remove(&operation)
+        self.pending.remove(&operation)
     }
 }
--- a/components/entry/src/core/planning.rs
+++ b/components/entry/src/core/planning.rs
@@ -1,4 +1,4 @@
-//! Role planning of the services whose lease this entry holds.
+//! Role planning for the services whose lease this entry holds.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,25 +14,25 @@
 use crate::core::EntryCore;
 use crate::core::Note;
 
-/// Between two looks at a service.
-const PLAN_MS: Duration = Duration::from_secs(1);
-/// Shortest time between two records of a service that nothing was changed. Each one takes a
+/// Interval of planning decisions for a service.
+const PLANNING_INTERVAL_MS: Duration = Duration::from_secs(1);
+/// Minimum time between audit records of rejected changes of a service. Each record takes a
 /// revision of the change log.
-const KEPT_RECORD_MS: Duration = Duration::from_mins(1);
+const REJECTION_RECORD_INTERVAL_MS: Duration = Duration::from_mins(1);
 
-/// Latest decision about a service.
+/// Latest planning decision for a service.
 pub(super) struct Plan {
     pub(super) decision: Decision,
-    pub(super) recorded: Option<Instant>,
+    pub(super) recorded_at: Option<Instant>,
 }
 
 impl EntryCore {
-    pub(super) fn tick_planning(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if now < self.plans_due || self.is_stopping() {
+    pub(super) fn tick_planners(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        if now < self.next_planning_at || self.is_stopping() {
             return;
         }
-        self.plans_due = now + PLAN_MS;
-        for held in self.held_services(now) {
+        self.next_planning_at = now + PLANNING_INTERVAL_MS;
+        for held in self.held_service_leases(now) {
             self.plan(now, held, actions);
         }
     }
@@ -61,8 +61,8 @@
                     reason,
                 });
             }
-            Verdict::Keep(reason) if decision.is_news && is_refusal(reason) => {
-                if self.may_record(now, &service) {
+            Verdict::Keep(reason) if decision.is_news && is_rejected_change(reason) => {
+                if self.is_record_due(now, &service) {
                     let reason = decision.to_string();
                     actions.push(Action::KeepPlan { held, reason });
                 }
@@ -74,26 +74,26 @@
             .and_modify(|plan| plan.decision = decision.clone())
             .or_insert(Plan {
                 decision,
-                recorded: None,
+                recorded_at: None,
             });
     }
 
-    fn may_record(&mut self, now: Instant, service: &str) -> bool {
+    fn is_record_due(&mut self, now: Instant, service: &str) -> bool {
         let Some(plan) = self.plans.get_mut(service) else {
             return true;
         };
-        let recent = plan
-            .recorded
-            .is_some_and(|at| now.saturating_duration_since(at) < KEPT_RECORD_MS);
-        if !recent {
-            plan.recorded = Some(now);
+        let is_recent = plan
+            .recorded_at
+            .is_some_and(|at| now.saturating_duration_since(at) < REJECTION_RECORD_INTERVAL_MS);
+        if !is_recent {
+            plan.recorded_at = Some(now);
         }
-        !recent
+        !is_recent
     }
 }
 
-/// Whether a change was weighed and refused; the other reasons mean that none was due.
-fn is_refusal(reason: &Reason) -> bool {
+/// Whether a possible change was rejected; the other reasons mean that none was considered.
+fn is_rejected_change(reason: &Reason) -> bool {
     matches!(
         reason,
         Reason::LastOfClass { .. } | Reason::NotWorth | Reason::Reversal
--- a/components/entry/src/core/probes.rs
+++ b/components/entry/src/core/probes.rs
@@ -1,4 +1,4 @@
-//! When to send which datagram: probes to agents and the head revision to other entries.
+//! Schedule of datagrams: probes to agents and announcements of the head revision to entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,15 +13,15 @@
 
 /// A datagram to send.
 #[derive(Debug, PartialEq)]
-pub struct Outgoing {
-    /// Where to.
+pub struct OutgoingDatagram {
+    /// Address of an agent or another entry.
     pub to: SocketAddr,
-    /// What.
+    /// A probe or an announcement.
     pub datagram: Datagram,
 }
 
-/// A probe of an entry that may have missed changes. Agents look for orders themselves when too
-/// few probes state a head revision.
+/// Clears the head revision of a probe, for an entry that may have missed changes. Agents poll the
+/// table for orders when too few probes state a head revision.
 #[must_use]
 pub fn without_head(datagram: Datagram) -> Datagram {
     match datagram {
@@ -36,32 +36,32 @@
     }
 }
 
-/// Probes of one target whose answers still count; older ones are taken for replays.
-const OUTSTANDING_PROBES: usize = 4;
+/// Maximum number of unanswered probes per target; answers to older ones count as replays.
+const MAX_OUTSTANDING_PROBES: usize = 4;
 
-/// Peers that one announcement goes to. A new head is passed on by each of them, and the poll of
-/// the table finds it within a second anyway.
-const ANNOUNCED_PEERS: usize = 8;
+/// Peers per announcement. Each of them announces a new head in turn, and the others find it by
+/// polling the table within a second.
+const ANNOUNCEMENT_FANOUT: usize = 8;
 
-struct Probed {
-    due: Instant,
-    outstanding: SmallVec<[u64; OUTSTANDING_PROBES]>,
+struct ProbeState {
+    next_probe_at: Instant,
+    outstanding: SmallVec<[u64; MAX_OUTSTANDING_PROBES]>,
 }
 
-/// Schedule of outgoing datagrams.
+/// Schedule of probes and announcements.
 pub struct Probes {
     entry: Incarnation,
     interval_ms: Duration,
     sequence: u64,
-    targets: BTreeMap<TargetName, Probed>,
+    targets: BTreeMap<TargetName, ProbeState>,
     peers: Vec<SocketAddr>,
-    peers_due: Instant,
+    next_announcement_at: Instant,
     next_peer: usize,
-    announced: Revision,
+    announced_head: Revision,
 }
 
 impl Probes {
-    /// Starts with the addresses of the other entries.
+    /// Creates a schedule without targets. `peers` are the addresses of the other entries.
     #[must_use]
     pub fn new(
         now: Instant,
@@ -72,103 +72,104 @@
         Self {
             entry,
             interval_ms,
-            // Answers to probes of an earlier run of this entry must not count.
+            // Differs between runs, so that answers to probes of an earlier run are not accepted.
             sequence: entry >> 1,
             targets: BTreeMap::new(),
             peers,
-            peers_due: now,
-            // Entries start at different peers.
+            next_announcement_at: now,
+            // Random, so that entries start at different peers.
             next_peer: usize::try_from(entry >> 32).unwrap_or(0),
-            announced: 0,
+            announced_head: 0,
         }
     }
 
-    /// Sends what is due. A new head goes to some peers at once.
+    /// Returns the datagrams that are due. A new head is announced to some peers at once.
     pub fn tick<'a>(
         &mut self,
         now: Instant,
         head: Revision,
         targets: impl Iterator<Item = (&'a TargetName, SocketAddr)>,
-    ) -> Vec<Outgoing> {
+    ) -> Vec<OutgoingDatagram> {
         let mut outgoing = Vec::new();
-        let mut present = 0;
+        let mut target_count = 0;
         for (target, to) in targets {
-            present += 1;
+            target_count += 1;
             if let Some(sequence) = self.next_probe(now, target) {
                 let datagram = Datagram::Probe {
                     entry: self.entry,
                     sequence,
                     head,
                 };
-                outgoing.push(Outgoing { to, datagram });
+                outgoing.push(OutgoingDatagram { to, datagram });
             }
         }
-        if self.targets.len() > present {
+        if self.targets.len() > target_count {
             let interval_ms = self.interval_ms;
             self.targets
-                .retain(|_, probed| probed.due + interval_ms > now);
+                .retain(|_, state| state.next_probe_at + interval_ms > now);
         }
         outgoing.extend(self.announce(now, head));
         outgoing
     }
 
-    /// Whether an answer belongs to a probe that was sent lately and not answered before.
-    pub fn answered(&mut self, target: &str, sequence: u64) -> bool {
-        let Some(probed) = self.targets.get_mut(target) else {
+    /// Accepts an answer to one of the latest probes, once. All earlier probes then count as
+    /// answered too.
+    pub fn accept_answer(&mut self, target: &str, sequence: u64) -> bool {
+        let Some(state) = self.targets.get_mut(target) else {
             return false;
         };
-        let expected = probed.outstanding.contains(&sequence);
-        if expected {
-            probed.outstanding.retain(|sent| *sent > sequence);
+        let is_expected = state.outstanding.contains(&sequence);
+        if is_expected {
+            state.outstanding.retain(|sent| *sent > sequence);
         }
-        expected
+        is_expected
     }
 
-    /// Whether a probe of a target had no answer before the next one was sent.
+    /// Whether a probe was unanswered when the next one was sent.
     #[must_use]
     pub fn is_unanswered(&self, target: &str) -> bool {
-        let probed = self.targets.get(target);
-        probed.is_some_and(|probed| probed.outstanding.len() > 1)
+        let state = self.targets.get(target);
+        state.is_some_and(|state| state.outstanding.len() > 1)
     }
 
     fn next_probe(&mut self, now: Instant, target: &TargetName) -> Option<u64> {
-        let probed = self
+        let state = self
             .targets
             .entry(target.clone())
-            .or_insert_with(|| Probed {
-                due: now,
+            .or_insert_with(|| ProbeState {
+                next_probe_at: now,
                 outstanding: SmallVec::new(),
             });
-        if probed.due > now {
+        if state.next_probe_at > now {
             return None;
         }
-        probed.due = now + self.interval_ms;
+        state.next_probe_at = now + self.interval_ms;
         self.sequence += 1;
-        if probed.outstanding.len() == OUTSTANDING_PROBES {
-            probed.outstanding.remove(0);
+        if state.outstanding.len() == MAX_OUTSTANDING_PROBES {
+            state.outstanding.remove(0);
         }
-        probed.outstanding.push(self.sequence);
+        state.outstanding.push(self.sequence);
         Some(self.sequence)
     }
 
-    fn announce(&mut self, now: Instant, head: Revision) -> Vec<Outgoing> {
-        if head <= self.announced && now < self.peers_due {
+    fn announce(&mut self, now: Instant, head: Revision) -> Vec<OutgoingDatagram> {
+        if head <= self.announced_head && now < self.next_announcement_at {
             return Vec::new();
         }
-        self.announced = head;
-        self.peers_due = now + self.interval_ms;
+        self.announced_head = head;
+        self.next_announcement_at = now + self.interval_ms;
         let datagram = Datagram::Head {
             entry: self.entry,
             head,
         };
-        let count = self.peers.len().min(ANNOUNCED_PEERS);
+        let count = self.peers.len().min(ANNOUNCEMENT_FANOUT);
         let first = self.next_peer;
         self.next_peer = first.wrapping_add(count);
         let peers = self.peers.iter().cycle();
         peers
             .skip(first.checked_rem(self.peers.len()).unwrap_or(0))
             .take(count)
-            .map(|to| Outgoing {
+            .map(|to| OutgoingDatagram {
                 to: *to,
                 datagram: datagram.clone(),
             })
--- a/components/entry/src/core/report.rs
+++ b/components/entry/src/core/report.rs
@@ -1,4 +1,4 @@
-//! What the entry tells operators about itself, and load reports within messages.
+//! Status and explanations for operators, and load reports within messages.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,8 +15,8 @@
 
 use crate::core::EntryCore;
 
-/// Load report that a message carries.
-pub fn load_of(message: &ToEntry) -> Option<&LoadReport> {
+/// Load report in a message from an agent, if it contains one.
+pub fn load_report_of(message: &ToEntry) -> Option<&LoadReport> {
     match message {
         ToEntry::Welcome { load, .. }
         | ToEntry::Rejected { load, .. }
@@ -32,18 +32,18 @@
     }
 }
 
-/// Size of the request that candidates are explained for: a short question.
-const SAMPLE_PROMPT_TOKENS: u32 = 200;
-const SAMPLE_OUTPUT_TOKENS: u32 = 100;
+/// Size of the example request for which candidates are explained: a short question.
+const EXAMPLE_PROMPT_TOKENS: u32 = 200;
+const EXAMPLE_OUTPUT_TOKENS: u32 = 100;
 
 impl EntryCore {
-    /// State of the entry and of the targets as it sees them.
+    /// Status of the entry and of the targets as known to it.
     #[must_use]
     pub fn status(&self, now: Instant) -> Value {
         let behind = self.follower.behind(now).map(|behind| {
             json!({
                 "known": behind.known,
-                "for_ms": millis(behind.for_ms),
+                "for_ms": as_ms(behind.for_ms),
             })
         });
         let services: Vec<Value> = self
@@ -55,12 +55,12 @@
                     .fleet
                     .views(now, name)
                     .iter()
-                    .map(describe)
+                    .map(describe_target)
                     .collect();
                 json!({
                     "service": name,
                     "profile": terms.profile.name,
-                    "planned_here": self.plans_for(now, name),
+                    "planned_here": self.is_planner_of(now, name),
                     "targets": targets,
                 })
             })
@@ -76,19 +76,19 @@
         })
     }
 
-    /// What is known about a request id or a target.
+    /// Explains a request by its id in hexadecimal, or a target by its name; `None` if unknown.
     #[must_use]
     pub fn explain(&self, now: Instant, subject: &str) -> Option<Value> {
         if let Ok(request) = RequestId::from_str_radix(subject, 16)
-            && let Some(summary) = self.journal.find(request)
+            && let Some(summary) = self.history.find(request)
         {
             return Some(json!({
                 "request": subject,
                 "service": summary.service,
                 "outcome": format!("{:?}", summary.outcome),
-                "attempts": summary.attempts.iter().map(attempt).collect::<Vec<Value>>(),
-                "first_byte_ms": summary.first_byte_ms.map(millis),
-                "total_ms": millis(summary.total_ms),
+                "attempts": summary.attempts.iter().map(describe_attempt).collect::<Vec<Value>>(),
+                "first_byte_ms": summary.first_byte_ms.map(as_ms),
+                "total_ms": as_ms(summary.total_ms),
                 "prompt_tokens": summary.usage.prompt_tokens,
                 "cached_tokens": summary.usage.cached_tokens,
                 "output_tokens": summary.usage.output_tokens,
@@ -108,7 +108,7 @@
             "target": target.value,
             "revision": target.revision,
             "order": order.map(|order| serde_json::json!(**order)),
-            "seen": view.map(describe),
+            "seen": view.map(describe_target),
             "connected": self.links.link(&target.value.name).is_some(),
             "candidates": self.candidates(now, service),
             "plan": self.plans.get(service).map(|plan| plan.decision.to_string()),
@@ -122,8 +122,8 @@
             kind: terms.kind,
             needs: Loaded::default(),
             priority: terms.profile.priority,
-            prompt_tokens: SAMPLE_PROMPT_TOKENS,
-            max_output_tokens: SAMPLE_OUTPUT_TOKENS,
+            prompt_tokens: EXAMPLE_PROMPT_TOKENS,
+            max_output_tokens: EXAMPLE_OUTPUT_TOKENS,
             prefixes: Vec::new(),
             deadline: now + terms.profile.deadline_ms,
             wanted_by: None,
@@ -131,7 +131,7 @@
             cache_affinity: terms.profile.cache_affinity,
         };
         let candidates = self.router.fleet.explain(now, &need);
-        let describe = |candidate: &routing::Candidate| {
+        let describe_candidate = |candidate: &routing::Candidate| {
             json!({
                 "target": candidate.target,
                 "standing": format!("{:?}", candidate.standing),
@@ -141,16 +141,16 @@
                 "rank_ms": candidate.rank_ms,
             })
         };
-        Some(candidates.iter().map(describe).collect())
+        Some(candidates.iter().map(describe_candidate).collect())
     }
 }
 
-fn describe(view: &TargetView) -> Value {
+fn describe_target(view: &TargetView) -> Value {
     json!({
         "target": view.name,
         "role": view.role,
         "standing": format!("{:?}", view.standing),
-        "report_age_ms": view.report_age_ms.map(millis),
+        "report_age_ms": view.report_age_ms.map(as_ms),
         "requests": view.requests,
         "prefill_tokens": view.prefill_tokens,
         "decode_tokens": view.decode_tokens,
@@ -158,18 +158,18 @@
     })
 }
 
-fn millis(duration: Duration) -> u64 {
+fn as_ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn attempt(attempt: &AttemptSummary) -> Value {
+fn describe_attempt(attempt: &AttemptSummary) -> Value {
     let (end_ms, end) = match attempt.end {
-        Some((end_ms, end)) => (Some(millis(end_ms)), format!("{end:?}")),
+        Some((end_ms, end)) => (Some(as_ms(end_ms)), format!("{end:?}")),
         None => (None, "Running".to_owned()),
     };
     json!({
         "target": attempt.target,
-        "start_ms": millis(attempt.start_ms),
+        "start_ms": as_ms(attempt.start_ms),
         "end_ms": end_ms,
         "end": end,
     })
--- a/components/entry/src/core/router.rs
+++ b/components/entry/src/core/router.rs
@@ -1,4 +1,4 @@
-//! The router with the planners' measurements beside it.
+//! Router that also reports all traffic to the role planners.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,55 +18,59 @@
 use types::ServiceName;
 use types::TargetName;
 
-/// Weight of the latest look at the share of traffic; looks are a second apart.
-const SHARE_SMOOTHING: f64 = 0.1;
+/// Smoothing factor of this entry's share of the traffic, which is sampled every second.
+const TRAFFIC_SHARE_WEIGHT: f64 = 0.1;
 
-/// Planner of one service and what it needs to know about this entry's part of the traffic.
-struct Seat {
+/// Planner of a service, with this entry's share of the traffic of the service.
+struct ServicePlanner {
     planner: Planner,
     in_flight: u32,
-    share: f64,
+    traffic_share: f64,
 }
 
-/// Passes every dispatch on to the fleet and to the planner of its service.
+/// Reports each dispatch to the fleet and to the planner of its service.
 ///
-/// Every entry measures, so that an entry which takes over a lease plans from what it has seen.
+/// Planners measure traffic on every entry, not only on the lease holder, so that an entry that
+/// acquires the lease already has measurements.
 pub struct PlanningRouter {
-    /// Targets and their load.
+    /// Target selection.
     pub fleet: Fleet,
-    planning: planner::Settings,
-    seats: BTreeMap<ServiceName, Seat>,
-    attempts: HashMap<AttemptId, ServiceName>,
+    planner_settings: planner::Settings,
+    service_planners: BTreeMap<ServiceName, ServicePlanner>,
+    services_by_attempt: HashMap<AttemptId, ServiceName>,
 }
 
 impl PlanningRouter {
-    /// Starts without targets.
+    /// Creates a router without targets.
     pub fn new(settings: routing::Settings, seed: u64) -> Self {
         Self {
-            planning: planner::Settings::new(&settings),
+            planner_settings: planner::Settings::new(&settings),
             fleet: Fleet::new(settings, seed),
-            seats: BTreeMap::new(),
-            attempts: HashMap::new(),
+            service_planners: BTreeMap::new(),
+            services_by_attempt: HashMap::new(),
         }
     }
 
-    /// Looks at the targets of a service and decides on its roles.
+    /// Decides on the roles of the targets of a service. `weight` scales the cost of a change.
     pub fn consider(&mut self, now: Instant, service: &str, weight: f64) -> Option<Decision> {
         let views = self.fleet.views(now, service);
-        let seat = self.seats.get_mut(service)?;
-        let total: f64 = views.iter().map(|view| view.requests).sum();
-        if total >= 1.0 {
-            let seen = (f64::from(seat.in_flight) / total).min(1.0);
-            seat.share += SHARE_SMOOTHING * (seen - seat.share);
-            seat.planner.set_traffic_share(seat.share);
+        let service_planner = self.service_planners.get_mut(service)?;
+        let total_requests: f64 = views.iter().map(|view| view.requests).sum();
+        if total_requests >= 1.0 {
+            let observed = (f64::from(service_planner.in_flight) / total_requests).min(1.0);
+            service_planner.traffic_share +=
+                TRAFFIC_SHARE_WEIGHT * (observed - service_planner.traffic_share);
+            service_planner
+                .planner
+                .set_traffic_share(service_planner.traffic_share);
         }
-        Some(seat.planner.consider(now, &views, weight))
+        Some(service_planner.planner.consider(now, &views, weight))
     }
 
-    /// The order of the last change could not be written.
+    /// Reports to the planner that the order of its last change could not be written.
     pub fn order_failed(&mut self, service: &str) {
-        if let Some(seat) = self.seats.get_mut(service) {
-            seat.planner.order_failed();
+        if let Some(service_planner) = self.service_planners.get_mut(service) {
+            service_planner.planner.order_failed();
         }
     }
 }
@@ -74,12 +78,12 @@
 impl Router for PlanningRouter {
     fn choose(&mut self, now: Instant, need: &Need, exclude: &[TargetName]) -> Choice {
         let choice = self.fleet.choose(now, need, exclude);
-        // What is refused for its deadline is demand too.
+        // Requests refused for their deadline are part of the demand.
         if matches!(choice, Choice::Infeasible { .. })
-            && let Some(seat) = self.seats.get_mut(&need.service)
+            && let Some(service_planner) = self.service_planners.get_mut(&need.service)
         {
-            let job = Job::new(self.fleet.size_for(need), within(now, need));
-            seat.planner.refused(now, &job);
+            let job = Job::new(self.fleet.size_for(need), remaining_wait(now, need));
+            service_planner.planner.refused(now, &job);
         }
         choice
     }
@@ -89,19 +93,21 @@
         let Some(size) = self.fleet.size_of(attempt) else {
             return;
         };
-        if !self.seats.contains_key(&need.service) {
-            let seat = Seat {
-                planner: Planner::new(self.planning.clone()),
+        if !self.service_planners.contains_key(&need.service) {
+            let service_planner = ServicePlanner {
+                planner: Planner::new(self.planner_settings.clone()),
                 in_flight: 0,
-                share: 1.0,
+                traffic_share: 1.0,
             };
-            self.seats.insert(need.service.clone(), seat);
+            self.service_planners
+                .insert(need.service.clone(), service_planner);
         }
-        if let Some(seat) = self.seats.get_mut(&need.service) {
-            seat.in_flight += 1;
-            let job = Job::new(size, within(now, need));
-            seat.planner.dispatched(now, attempt, &job);
-            self.attempts.insert(attempt, need.service.clone());
+        if let Some(service_planner) = self.service_planners.get_mut(&need.service) {
+            service_planner.in_flight += 1;
+            let job = Job::new(size, remaining_wait(now, need));
+            service_planner.planner.dispatched(now, attempt, &job);
+            self.services_by_attempt
+                .insert(attempt, need.service.clone());
         }
     }
 
@@ -113,23 +119,23 @@
         settlement: Settlement,
     ) {
         self.fleet.settled(now, target, attempt, settlement);
-        let Some(service) = self.attempts.remove(&attempt) else {
+        let Some(service) = self.services_by_attempt.remove(&attempt) else {
             return;
         };
-        if let Some(seat) = self.seats.get_mut(&service) {
+        if let Some(service_planner) = self.service_planners.get_mut(&service) {
             let ended = match settlement {
                 Settlement::Answered(usage) => Ended::Answered(usage),
                 Settlement::Rejected | Settlement::Failed => Ended::TriedAgain,
                 Settlement::Cancelled => Ended::Unserved,
             };
-            seat.in_flight = seat.in_flight.saturating_sub(1);
-            seat.planner.settled(now, attempt, ended);
+            service_planner.in_flight = service_planner.in_flight.saturating_sub(1);
+            service_planner.planner.settled(now, attempt, ended);
         }
     }
 }
 
-/// Time for which the caller is expected to wait.
-fn within(now: Instant, need: &Need) -> Duration {
+/// Time until the caller wants the answer, at most until the deadline.
+fn remaining_wait(now: Instant, need: &Need) -> Duration {
     let until = need.wanted_by.unwrap_or(need.deadline).min(need.deadline);
     until.saturating_duration_since(now)
 }
--- a/components/entry/src/core/share.rs
+++ b/components/entry/src/core/share.rs
@@ -1,12 +1,11 @@
-//! The share of the targets that this entry uses.
+//! Share of the targets of a service that this entry uses (subsetting).
 //!
-//! Targets of a service are ranked for this entry by rendezvous hashing, and the best of them
-//! are its share. Two entries have each target in their share wherever it ranks, by hashing the
-//! other way round, so that none is left without entries; at least two targets of each place
-//! are in it. The share doubles every 2 s while no target in it is usable, up to the whole
-//! service, and returns to its size after a minute in which its regular part was usable. The
-//! entry that plans for a service uses all of its targets, since a decision about roles needs
-//! all of them.
+//! This entry ranks the targets of a service by rendezvous hashing and uses those with the highest
+//! scores. So that no target is left without entries, each target is also in the share of the two
+//! entries that score highest for it. At least two targets of each place are in the share. While
+//! no target in the share is usable, it doubles every 2 s up to the whole service. It returns to
+//! its regular size after a minute in which a target of the regular share was usable. The entry
+//! that plans for a service uses all of its targets, as role decisions depend on all of them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -22,43 +21,45 @@
 use types::TargetName;
 use types::TargetState;
 
-/// Entries that use a target wherever it ranks; with one, its loss would leave targets unused.
-const COVER: usize = 2;
-/// Targets of each place in the share, so that the loss of a place leaves some everywhere else.
-const PLACE_MINIMUM: usize = 2;
-/// Time without a usable target before the share doubles: as long as a probe counts.
+/// Entries that use a target whatever its rank. With only one, the loss of that entry would leave
+/// targets unused.
+const MIN_ENTRIES_PER_TARGET: usize = 2;
+/// Targets of each place in the share, so that the other places still have some after the loss of
+/// a place.
+const MIN_TARGETS_PER_PLACE: usize = 2;
+/// Time without a usable target before the share doubles, equal to the probe timeout.
 const WIDEN_MS: Duration = Duration::from_secs(2);
-/// Time with a usable target in the regular share before a wider one is given up.
+/// Time with a usable target in the regular share before a widened share is reduced.
 const NARROW_MS: Duration = Duration::from_mins(1);
 
-/// A target with its rank, the highest first.
+/// Target with its score for this entry.
 #[derive(Debug, Clone)]
-struct Ranked {
+struct RankedTarget {
     place: Place,
     is_withdrawn: bool,
-    is_covered_here: bool,
+    is_required_here: bool,
     score: u64,
 }
 
 #[derive(Debug, Default)]
 struct Pool {
-    targets: BTreeMap<TargetName, Ranked>,
-    /// Share at its regular size.
+    targets: BTreeMap<TargetName, RankedTarget>,
+    /// Targets of the share at its regular size.
     regular: BTreeSet<TargetName>,
-    chosen: BTreeSet<TargetName>,
-    is_whole: bool,
+    selected: BTreeSet<TargetName>,
+    is_planner_here: bool,
     doublings: u32,
-    closed_since: Option<Instant>,
-    open_since: Option<Instant>,
+    unusable_since: Option<Instant>,
+    usable_since: Option<Instant>,
     is_dirty: bool,
 }
 
-/// Changes of the share.
+/// Difference between two successive shares.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ShareChange {
-    /// Targets that are used from now on.
+    /// Targets that are now in the share.
     pub added: Vec<TargetName>,
-    /// Targets that are not used any more.
+    /// Targets that are no longer in the share.
     pub removed: Vec<TargetName>,
 }
 
@@ -66,33 +67,34 @@
 #[derive(Debug)]
 pub struct Shares {
     limit: usize,
-    own: u64,
-    others: Vec<u64>,
+    own_digest: u64,
+    peer_digests: Vec<u64>,
     pools: BTreeMap<ServiceName, Pool>,
-    service_of: BTreeMap<TargetName, ServiceName>,
+    services_by_target: BTreeMap<TargetName, ServiceName>,
 }
 
 impl Shares {
-    /// Starts without targets. `limit` is the size of a share.
+    /// Creates shares without targets. `limit` is the regular number of targets per service.
     #[must_use]
     pub fn new(limit: usize, own: SocketAddr, peers: &[SocketAddr]) -> Self {
         let digest = |address: &SocketAddr| rendezvous::digest(&address.to_string());
         let others = peers.iter().filter(|peer| **peer != own);
         Self {
             limit,
-            own: digest(&own),
-            others: others.map(digest).collect(),
+            own_digest: digest(&own),
+            peer_digests: others.map(digest).collect(),
             pools: BTreeMap::new(),
-            service_of: BTreeMap::new(),
+            services_by_target: BTreeMap::new(),
         }
     }
 
-    /// A target's row is new or has changed.
+    /// Adds a target, or updates it from its changed row.
     pub fn set(&mut self, target: &Target) {
         let name = &target.name;
-        if self.service_of.get(name) != Some(&target.service) {
+        if self.services_by_target.get(name) != Some(&target.service) {
             self.remove(name);
-            self.service_of.insert(name.clone(), target.service.clone());
+            self.services_by_target
+                .insert(name.clone(), target.service.clone());
         }
         let ranked = self.rank(target);
         let pool = self.pools.entry(target.service.clone()).or_default();
@@ -101,9 +103,9 @@
         pool.is_dirty |= old.is_none_or(|old| old.is_withdrawn != is_withdrawn);
     }
 
-    /// A target's row is gone.
+    /// Removes a target.
     pub fn remove(&mut self, name: &TargetName) {
-        let service = self.service_of.remove(name);
+        let service = self.services_by_target.remove(name);
         let Some(pool) = service.and_then(|service| self.pools.get_mut(&service)) else {
             return;
         };
@@ -114,19 +116,19 @@
     /// Whether a target is in the share.
     #[must_use]
     pub fn contains(&self, name: &TargetName) -> bool {
-        let service = self.service_of.get(name);
+        let service = self.services_by_target.get(name);
         let pool = service.and_then(|service| self.pools.get(service));
-        pool.is_some_and(|pool| pool.chosen.contains(name))
+        pool.is_some_and(|pool| pool.selected.contains(name))
     }
 
-    /// Services with targets.
+    /// Services that have or had targets.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         self.pools.keys()
     }
 
-    /// Takes note of which targets of the share are usable, and whether this entry plans for
-    /// the service.
-    pub fn look(
+    /// Updates which targets of the share are usable, and whether this entry plans for the
+    /// service. Takes effect on `recompute`.
+    pub fn update_usable(
         &mut self,
         now: Instant,
         service: &str,
@@ -136,87 +138,90 @@
         let Some(pool) = self.pools.get_mut(service) else {
             return;
         };
-        pool.is_dirty |= pool.is_whole != is_planner;
-        pool.is_whole = is_planner;
+        pool.is_dirty |= pool.is_planner_here != is_planner;
+        pool.is_planner_here = is_planner;
         let is_regular = !usable.is_disjoint(&pool.regular);
-        pool.open_since = is_regular.then(|| pool.open_since.unwrap_or(now));
-        pool.closed_since = usable.is_empty().then(|| pool.closed_since.unwrap_or(now));
-        let lasts = |since: Option<Instant>, time| {
+        pool.usable_since = is_regular.then(|| pool.usable_since.unwrap_or(now));
+        pool.unusable_since = usable
+            .is_empty()
+            .then(|| pool.unusable_since.unwrap_or(now));
+        let has_lasted = |since: Option<Instant>, time| {
             since.is_some_and(|since| now.saturating_duration_since(since) >= time)
         };
-        if lasts(pool.closed_since, WIDEN_MS) && pool.chosen.len() < pool.targets.len() {
+        if has_lasted(pool.unusable_since, WIDEN_MS) && pool.selected.len() < pool.targets.len() {
             pool.doublings += 1;
-            pool.closed_since = Some(now);
+            pool.unusable_since = Some(now);
             pool.is_dirty = true;
         }
-        if lasts(pool.open_since, NARROW_MS) && pool.doublings > 0 {
+        if has_lasted(pool.usable_since, NARROW_MS) && pool.doublings > 0 {
             pool.doublings = 0;
             pool.is_dirty = true;
         }
     }
 
-    /// Brings the shares up to date.
-    pub fn refresh(&mut self) -> ShareChange {
+    /// Recomputes changed shares and returns the difference.
+    pub fn recompute(&mut self) -> ShareChange {
         let mut change = ShareChange::default();
-        let mut moved = Vec::new();
+        let mut removed = Vec::new();
         for pool in self.pools.values_mut().filter(|pool| pool.is_dirty) {
             pool.is_dirty = false;
-            let before = pool.choose(self.limit);
+            let previous = pool.select_targets(self.limit);
             change
                 .added
-                .extend(pool.chosen.difference(&before).cloned());
-            moved.extend(before.difference(&pool.chosen).cloned());
+                .extend(pool.selected.difference(&previous).cloned());
+            removed.extend(previous.difference(&pool.selected).cloned());
         }
-        // A target that moved to another service may be in that one's share.
-        moved.retain(|name| !self.contains(name));
-        change.removed = moved;
+        // A target that moved to another service may be in the share of that service.
+        removed.retain(|name| !self.contains(name));
+        change.removed = removed;
         change
     }
 
-    fn rank(&self, target: &Target) -> Ranked {
+    fn rank(&self, target: &Target) -> RankedTarget {
         let key = rendezvous::digest(&target.name);
-        let mine = rendezvous::score(key, self.own);
-        let better = self
-            .others
+        let own_score = rendezvous::score(key, self.own_digest);
+        let higher_scores = self
+            .peer_digests
             .iter()
-            .filter(|other| rendezvous::score(key, **other) > mine);
-        Ranked {
+            .filter(|other| rendezvous::score(key, **other) > own_score);
+        RankedTarget {
             place: target.place.clone(),
             is_withdrawn: target.state == TargetState::Withdrawn,
-            is_covered_here: better.count() < COVER,
-            score: mine,
+            is_required_here: higher_scores.count() < MIN_ENTRIES_PER_TARGET,
+            score: own_score,
         }
     }
 }
 
 impl Pool {
-    /// Chooses again and returns the share before.
-    fn choose(&mut self, limit: usize) -> BTreeSet<TargetName> {
-        let mut ranked: Vec<(&TargetName, &Ranked)> = self.targets.iter().collect();
+    /// Selects the targets of the share and returns the previous selection.
+    fn select_targets(&mut self, limit: usize) -> BTreeSet<TargetName> {
+        let mut ranked: Vec<(&TargetName, &RankedTarget)> = self.targets.iter().collect();
         ranked.sort_by_key(|(name, r)| (r.is_withdrawn, Reverse(r.score), *name));
-        let mut at_place: BTreeMap<&Place, usize> = BTreeMap::new();
+        let mut targets_by_place: BTreeMap<&Place, usize> = BTreeMap::new();
         let mut required = Vec::new();
-        let mut others = Vec::new();
+        let mut optional = Vec::new();
         for (name, ranked) in ranked {
-            let count = at_place.entry(&ranked.place).or_default();
+            let count = targets_by_place.entry(&ranked.place).or_default();
             *count += 1;
-            let is_needed = ranked.is_covered_here || *count <= PLACE_MINIMUM;
-            if is_needed && !ranked.is_withdrawn {
+            let is_required = ranked.is_required_here || *count <= MIN_TARGETS_PER_PLACE;
+            if is_required && !ranked.is_withdrawn {
                 required.push(name);
             } else {
-                others.push(name);
+                optional.push(name);
             }
         }
         let size = required.len().max(limit);
-        let wide = if self.is_whole {
+        let widened_size = if self.is_planner_here {
             usize::MAX
         } else {
             size.saturating_mul(1 << self.doublings.min(u32::BITS - 1))
         };
-        let all: Vec<&TargetName> = required.into_iter().chain(others).collect();
-        let best = |count: usize| all.iter().take(count).map(|name| (*name).clone()).collect();
-        let (regular, chosen) = (best(size), best(wide));
+        let all: Vec<&TargetName> = required.into_iter().chain(optional).collect();
+        let first_targets =
+            |count: usize| all.iter().take(count).map(|name| (*name).clone()).collect();
+        let (regular, selected) = (first_targets(size), first_targets(widened_size));
         self.regular = regular;
-        std::mem::replace(&mut self.chosen, chosen)
+        std::mem::replace(&mut self.selected, selected)
     }
 }
--- a/components/entry/src/core/sharing.rs
+++ b/components/entry/src/core/share_updates.rs
@@ -1,4 +1,4 @@
-//! Applies the share of targets: which ones the router knows and which have a connection.
+//! Applies changes of the shares to the router and to the connections.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,41 +13,42 @@
 use crate::core::Action;
 use crate::core::EntryCore;
 
-/// Between two looks at the shares.
-const LOOK_MS: Duration = Duration::from_secs(1);
-/// Time that a target outside the share stays connected for a question about a claim; longer
-/// than the 3 s that a run waits for the answer.
-const GUEST_MS: Duration = Duration::from_secs(10);
+/// Interval of updates of the shares.
+const SHARE_UPDATE_INTERVAL_MS: Duration = Duration::from_secs(1);
+/// Time that a target outside the share stays connected to query it about a claim. It exceeds the
+/// 3 s that a request waits for the answer.
+const CLAIM_CONNECTION_MS: Duration = Duration::from_secs(10);
 
 impl EntryCore {
     pub(super) fn tick_share(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if now < self.shares_due {
+        if now < self.next_share_update_at {
             return;
         }
-        self.shares_due = now + LOOK_MS;
+        self.next_share_update_at = now + SHARE_UPDATE_INTERVAL_MS;
         let services: Vec<ServiceName> = self.shares.services().cloned().collect();
         for service in services {
-            let usable = self.usable(now, &service);
-            let is_planner = self.plans_for(now, &service);
-            self.shares.look(now, &service, &usable, is_planner);
+            let usable = self.usable_targets(now, &service);
+            let is_planner = self.is_planner_of(now, &service);
+            self.shares
+                .update_usable(now, &service, &usable, is_planner);
         }
-        self.refresh_share(now, actions);
+        self.update_shares(now, actions);
         self.release_unused(now, actions);
     }
 
-    /// Brings router and connections in line with the shares.
-    pub(super) fn refresh_share(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let change = self.shares.refresh();
+    /// Recomputes the shares and applies the difference to the router and the connections.
+    pub(super) fn update_shares(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let change = self.shares.recompute();
         for name in change.removed {
             self.router.fleet.target_removed(&name);
-            // The connection stays while an attempt is in flight.
-            self.outside.entry(name).or_insert(now);
+            // `release_unused` closes the connection once no attempt is in flight on it.
+            self.outside_share.entry(name).or_insert(now);
         }
         let Some(snapshot) = self.applied.clone() else {
             return;
         };
         for name in change.added {
-            self.outside.remove(&name);
+            self.outside_share.remove(&name);
             if let Some(target) = snapshot.target(&name) {
                 self.router.fleet.target_set(now, &target.value);
             }
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Opens a connection to a target outside the share that a claim names.
-    pub(super) fn connect_outside(
+    /// Connects to a target that a claim names, if it is outside the share.
+    pub(super) fn connect_outside_share(
         &mut self,
         now: Instant,
         name: &TargetName,
@@ -66,7 +67,8 @@
             return;
         }
         if let Some(snapshot) = self.applied.clone() {
-            self.outside.insert(name.clone(), now + GUEST_MS);
+            self.outside_share
+                .insert(name.clone(), now + CLAIM_CONNECTION_MS);
             self.connect(now, &snapshot, name, actions);
         }
     }
@@ -83,44 +85,45 @@
         };
         if target.state != TargetState::Withdrawn {
             let links = self.links.set(now, name, target.agent, target.incarnation);
-            self.carry_out_links(now, links, actions);
+            self.apply_link_actions(now, links, actions);
         }
     }
 
-    /// Closes connections to targets outside the share that nothing needs any more.
+    /// Closes expired connections to targets outside the share, unless requests use them.
     fn release_unused(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if self.outside.values().all(|until| *until > now) {
+        if self.outside_share.values().all(|until| *until > now) {
             return;
         }
         let in_use = self.requests.targets_in_use();
         let unused: Vec<TargetName> = self
-            .outside
+            .outside_share
             .iter()
             .filter(|(name, until)| **until <= now && !in_use.contains(*name))
             .map(|(name, _)| name.clone())
             .collect();
         for name in unused {
-            self.outside.remove(&name);
+            self.outside_share.remove(&name);
             let links = self.links.release(now, &name);
-            self.carry_out_links(now, links, actions);
+            self.apply_link_actions(now, links, actions);
         }
     }
 
-    /// Targets of the share that take new work and have what the service's profile asks for.
-    fn usable(&self, now: Instant, service: &str) -> BTreeSet<TargetName> {
+    /// Targets of the share that accept new work and have the model and version of the profile.
+    fn usable_targets(&self, now: Instant, service: &str) -> BTreeSet<TargetName> {
         let Some((terms, snapshot)) = self.terms.get(service).zip(self.applied.as_ref()) else {
             return BTreeSet::new();
         };
         let profile = &terms.profile;
-        let fits = |name: &TargetName| {
-            let same = |need: &str, have: &str| need.is_empty() || need == have;
+        let has_model = |name: &TargetName| {
+            let is_match = |need: &str, have: &str| need.is_empty() || need == have;
             snapshot.target(name).is_some_and(|target| {
                 let loaded = &target.value.loaded;
-                same(&profile.model, &loaded.model) && same(&profile.version, &loaded.version)
+                is_match(&profile.model, &loaded.model)
+                    && is_match(&profile.version, &loaded.version)
             })
         };
         let views = self.router.fleet.views(now, service);
-        let open = views.into_iter().filter(|v| v.standing == Standing::Open);
-        open.map(|view| view.name).filter(fits).collect()
+        let open_views = views.into_iter().filter(|v| v.standing == Standing::Open);
+        open_views.map(|view| view.name).filter(has_model).collect()
     }
 }
--- a/components/entry/src/core/traffic.rs
+++ b/components/entry/src/core/traffic.rs
@@ -1,4 +1,4 @@
-//! Requests, connections and datagrams: passes events between the state machines.
+//! Passes events of requests, connections and datagrams between the state machines.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -21,11 +21,11 @@
 use crate::core::Note;
 use crate::core::links::LinkAction;
 use crate::core::links::LinkId;
-use crate::core::operations::Owner;
+use crate::core::pending_calls::Owner;
 use crate::core::report;
 
 impl EntryCore {
-    pub(super) fn submitted(
+    pub(super) fn submit_request(
         &mut self,
         now: Instant,
         request: RequestId,
@@ -33,7 +33,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(terms) = self.terms.get(&submission.work.service).cloned() else {
-            let reply = Reply::Refused(self.no_terms(&submission.work.service));
+            let reply = Reply::Refused(self.refusal_without_terms(&submission.work.service));
             actions.push(Action::Reply { request, reply });
             return;
         };
@@ -42,12 +42,12 @@
             submission,
             terms,
         };
-        self.tell_requests(now, event, actions);
+        self.handle_request_event(now, event, actions);
     }
 
-    /// Refusal for a service without terms.
+    /// Refusal of a request to a service without terms.
     #[must_use]
-    pub fn no_terms(&self, service: &str) -> Refusal {
+    pub fn refusal_without_terms(&self, service: &str) -> Refusal {
         if self.applied.is_none() {
             return Refusal {
                 reason: RefusalReason::NotReady,
@@ -64,7 +64,7 @@
         }
     }
 
-    pub(super) fn tell_requests(
+    pub(super) fn handle_request_event(
         &mut self,
         now: Instant,
         event: request::Event,
@@ -77,37 +77,37 @@
                 }
                 request::Action::Send { target, message } => {
                     if let Some(link) = self.links.link(&target) {
-                        self.links.sent(now, link);
+                        self.links.message_sent(now, link);
                         actions.push(Action::Send { link, message });
-                    } else if is_about_claim(&message) {
-                        self.connect_outside(now, &target, actions);
+                    } else if is_claim_query(&message) {
+                        self.connect_outside_share(now, &target, actions);
                     }
                 }
                 request::Action::Table { operation, request } => {
-                    let operation = self.operations.begin(Owner::Requests, operation);
+                    let operation = self.pending_calls.begin(Owner::Requests, operation);
                     actions.push(Action::Table { operation, request });
                 }
                 request::Action::Object { operation, request } => {
-                    let operation = self.operations.begin(Owner::Requests, operation);
+                    let operation = self.pending_calls.begin(Owner::Requests, operation);
                     actions.push(Action::Object { operation, request });
                 }
                 request::Action::Settled { request, summary } => {
-                    self.settled(request, summary, actions);
+                    self.record_settled(request, summary, actions);
                 }
             }
         }
     }
 
-    fn settled(&mut self, request: RequestId, summary: Summary, actions: &mut Vec<Action>) {
+    fn record_settled(&mut self, request: RequestId, summary: Summary, actions: &mut Vec<Action>) {
         let summary = Rc::new(summary);
         actions.push(Action::Note(Note::RequestSettled {
             request,
             summary: Rc::clone(&summary),
         }));
-        self.journal.push(request, summary);
+        self.history.push(request, summary);
     }
 
-    pub(super) fn link_message(
+    pub(super) fn handle_link_message(
         &mut self,
         now: Instant,
         link: LinkId,
@@ -120,17 +120,19 @@
             load,
         } = message
         {
-            let links = self.links.welcomed(now, link, &target, incarnation);
-            self.carry_out_links(now, links, actions);
-            self.alive(now, &target, &load);
+            let links = self
+                .links
+                .connection_established(now, link, &target, incarnation);
+            self.apply_link_actions(now, links, actions);
+            self.record_alive(now, &target, &load);
             self.repeat_order_hint(now, &target, load.applied, actions);
             return;
         }
-        let Some((target, incarnation)) = self.links.heard(now, link) else {
+        let Some((target, incarnation)) = self.links.message_received(now, link) else {
             return;
         };
         self.router.fleet.probe_answered(now, &target, incarnation);
-        if let Some(load) = report::load_of(&message) {
+        if let Some(load) = report::load_report_of(&message) {
             self.router.fleet.load_report(now, &target, load);
         }
         match message {
@@ -145,26 +147,26 @@
                     incarnation,
                     message,
                 };
-                self.tell_requests(now, event, actions);
+                self.handle_request_event(now, event, actions);
             }
         }
     }
 
-    pub(super) fn link_closed(
+    pub(super) fn handle_link_closed(
         &mut self,
         now: Instant,
         link: LinkId,
         detail: Option<String>,
         actions: &mut Vec<Action>,
     ) {
-        let links = self.links.closed(now, link);
+        let links = self.links.connection_closed(now, link);
         if let Some(detail) = detail {
-            note_down(&links, &detail, actions);
+            log_lost_connections(&links, &detail, actions);
         }
-        self.carry_out_links(now, links, actions);
+        self.apply_link_actions(now, links, actions);
     }
 
-    pub(super) fn carry_out_links(
+    pub(super) fn apply_link_actions(
         &mut self,
         now: Instant,
         links: Vec<LinkAction>,
@@ -197,18 +199,18 @@
                         target,
                         incarnation,
                     };
-                    self.tell_requests(now, event, actions);
+                    self.handle_request_event(now, event, actions);
                 }
                 LinkAction::Down { target } => {
                     self.router.fleet.unreachable(now, &target);
                     let event = request::Event::ConnectionDown { target };
-                    self.tell_requests(now, event, actions);
+                    self.handle_request_event(now, event, actions);
                 }
                 LinkAction::IncarnationGone {
                     target,
                     incarnation,
                 } => {
-                    actions.push(Action::Note(Note::AgentGone {
+                    actions.push(Action::Note(Note::AgentRunEnded {
                         target: target.clone(),
                         incarnation,
                     }));
@@ -216,33 +218,38 @@
                         target,
                         incarnation,
                     };
-                    self.tell_requests(now, event, actions);
+                    self.handle_request_event(now, event, actions);
                 }
             }
         }
     }
 
-    pub(super) fn datagram(&mut self, now: Instant, datagram: Datagram, actions: &mut Vec<Action>) {
+    pub(super) fn handle_datagram(
+        &mut self,
+        now: Instant,
+        datagram: Datagram,
+        actions: &mut Vec<Action>,
+    ) {
         match datagram {
             Datagram::Alive {
                 target,
                 sequence,
                 load,
             } => {
-                // An old datagram that was delayed or replayed is no sign of life.
-                if self.probes.answered(&target, sequence) {
-                    self.alive(now, &target, &load);
+                // A delayed or replayed datagram does not show that the agent is alive.
+                if self.probes.accept_answer(&target, sequence) {
+                    self.record_alive(now, &target, &load);
                 }
             }
             Datagram::Head { entry, head } if entry != self.incarnation => {
                 let event = FollowerEvent::Hint { revision: head };
-                self.tell_follower(now, event, actions);
+                self.handle_follower_event(now, event, actions);
             }
             Datagram::Head { .. } | Datagram::Probe { .. } => {}
         }
     }
 
-    fn alive(&mut self, now: Instant, target: &str, load: &LoadReport) {
+    fn record_alive(&mut self, now: Instant, target: &str, load: &LoadReport) {
         self.router
             .fleet
             .probe_answered(now, target, load.incarnation);
@@ -250,13 +257,13 @@
     }
 }
 
-/// Whether a message may concern a target that another entry chose.
-fn is_about_claim(message: &ToAgent) -> bool {
+/// Whether a message concerns a claim, whose target may be one that another entry chose.
+fn is_claim_query(message: &ToAgent) -> bool {
     matches!(message, ToAgent::Forbid { .. } | ToAgent::Resume { .. })
 }
 
-/// Notes which connections in use were lost.
-pub(super) fn note_down(links: &[LinkAction], detail: &str, actions: &mut Vec<Action>) {
+/// Logs established connections that were lost.
+pub(super) fn log_lost_connections(links: &[LinkAction], detail: &str, actions: &mut Vec<Action>) {
     let lost = links.iter().filter_map(|action| match action {
         LinkAction::Down { target } => Some(target.clone()),
         _ => None,
--- a/components/entry/src/daemon/gateway.rs
+++ b/components/entry/src/daemon/gateway.rs
@@ -1,4 +1,4 @@
-//! The entry as the callers' side sees it.
+//! Connects the callers' port to the core.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 use crate::core::Event;
 use crate::daemon::Daemon;
 
-/// Hands callers' requests to the daemon.
+/// Passes requests of callers to the core.
 pub struct EntryGateway {
     daemon: Rc<Daemon>,
 }
@@ -28,7 +28,9 @@
 impl Gateway for EntryGateway {
     fn limits(&self, service: &str) -> Result<CallerLimits, Refusal> {
         let core = self.daemon.core.borrow();
-        let terms = core.terms(service).ok_or_else(|| core.no_terms(service))?;
+        let terms = core
+            .terms(service)
+            .ok_or_else(|| core.refusal_without_terms(service))?;
         Ok(CallerLimits {
             kind: terms.kind,
             body_limit_bytes: terms.profile.body_limit_bytes,
@@ -40,7 +42,7 @@
         let (sender, receiver) = async_channel::unbounded();
         let request = self.daemon.core.borrow_mut().new_request();
         self.daemon.replies.borrow_mut().insert(request, sender);
-        self.daemon.feed(Event::Submitted {
+        self.daemon.handle_event(Event::Submitted {
             request,
             submission,
         });
@@ -48,17 +50,17 @@
     }
 
     fn consumed(&self, request: RequestId, bytes: u64) {
-        self.daemon.feed(Event::Consumed { request, bytes });
+        self.daemon.handle_event(Event::Consumed { request, bytes });
     }
 
     fn hang_up(&self, request: RequestId) {
         self.daemon.replies.borrow_mut().remove(&request);
-        self.daemon.feed(Event::CallerGone { request });
+        self.daemon.handle_event(Event::CallerGone { request });
     }
 
     fn health(&self) -> Health {
         Health {
-            staying: self.daemon.staying.get(),
+            staying: self.daemon.is_in_service.get(),
             ready: self.daemon.core.borrow().snapshot().is_some(),
         }
     }
--- a/components/entry/src/daemon/link.rs
+++ b/components/entry/src/daemon/link.rs
@@ -1,4 +1,4 @@
-//! I/O of one connection to an agent.
+//! I/O of a connection to an agent.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use crate::core::links::LinkId;
 use crate::daemon::Daemon;
 
-/// Opens a connection and moves messages until it ends. Dropping the task closes it.
+/// Opens a connection and transfers messages until it ends. Dropping the task closes it.
 pub async fn run(
     daemon: Rc<Daemon>,
     link: LinkId,
@@ -28,7 +28,7 @@
 ) {
     let end = exchange(&daemon, link, target, address, outbox).await;
     let detail = end.err().map(|error| error.to_string());
-    daemon.feed(Event::LinkClosed { link, detail });
+    daemon.handle_event(Event::LinkClosed { link, detail });
 }
 
 async fn exchange(
@@ -58,7 +58,7 @@
     reader: &mut SessionReader<TcpStream>,
 ) -> Result<(), SessionError> {
     while let Some(message) = reader.next_message::<ToEntry>().await? {
-        daemon.feed(Event::LinkMessage { link, message });
+        daemon.handle_event(Event::LinkMessage { link, message });
     }
     Ok(())
 }
--- a/components/entry/src/daemon/listeners.rs
+++ b/components/entry/src/daemon/listeners.rs
@@ -1,4 +1,4 @@
-//! Sockets that the daemon listens on.
+//! Listening sockets of the daemon and the tasks that serve them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,10 +22,10 @@
 use crate::daemon::operator::EntryControl;
 use crate::daemon::peers;
 
-/// Pause after a failed receive, so that an error that stays does not take the whole core.
-const RECEIVE_PAUSE_MS: Duration = Duration::from_millis(10);
-/// Larger than any datagram, so that a longer one is noticed and not cut.
-const RECEIVE_BYTES: usize = 2048;
+/// Delay after a failed receive, so that a persistent error does not use a whole CPU core.
+const RECEIVE_RETRY_DELAY_MS: Duration = Duration::from_millis(10);
+/// Larger than any valid datagram, so that a longer one is refused instead of truncated.
+const RECEIVE_BUFFER_BYTES: usize = 2048;
 
 /// Bound sockets.
 pub struct Listeners {
@@ -35,17 +35,17 @@
     datagrams: UdpSocket,
 }
 
-/// Callers' side while it serves.
-pub struct Callers {
+/// Running servers of callers and operators.
+pub struct RunningServers {
     stop: Sender<()>,
     task: Task<()>,
-    /// The operators' port serves until this is dropped.
+    /// Stops the operators' server when dropped.
     _operators: Sender<()>,
-    /// Ports whose limits and tokens can be changed.
+    /// Ports whose limits and tokens can be changed at run time.
     pub ports: Ports,
 }
 
-/// Ports for callers and operators.
+/// Request handlers of callers and operators.
 #[derive(Clone)]
 pub struct Ports {
     /// Callers' port.
@@ -54,15 +54,15 @@
     pub operators: Rc<OperatorsPort>,
 }
 
-impl Callers {
-    /// Accepts nothing more and waits for the requests in flight.
-    pub async fn finish(self) {
+impl RunningServers {
+    /// Stops accepting callers' requests and waits for those in flight.
+    pub async fn shut_down(self) {
         self.stop.close();
         self.task.await;
     }
 }
 
-/// Binds all addresses.
+/// Binds all addresses of the settings.
 pub async fn bind(settings: &EntrySettings) -> eyre::Result<Listeners> {
     let addresses = settings.addresses;
     Ok(Listeners {
@@ -71,30 +71,30 @@
         peers: listen(addresses.peers, "addresses.peers").await?,
         datagrams: UdpSocket::bind(addresses.peers)
             .await
-            .wrap_err_with(|| taken(addresses.peers, "addresses.peers"))?,
+            .wrap_err_with(|| bind_error(addresses.peers, "addresses.peers"))?,
     })
 }
 
 async fn listen(address: SocketAddr, field: &str) -> eyre::Result<TcpListener> {
     TcpListener::bind(address)
         .await
-        .wrap_err_with(|| taken(address, field))
+        .wrap_err_with(|| bind_error(address, field))
 }
 
-fn taken(address: SocketAddr, field: &str) -> String {
+fn bind_error(address: SocketAddr, field: &str) -> String {
     format!("cannot listen on {address}; free it or change `{field}` in the settings")
 }
 
-/// Starts to serve on all sockets.
+/// Starts the tasks that serve all sockets.
 pub fn start(
     daemon: &Rc<Daemon>,
     listeners: Listeners,
     outgoing: Receiver<(SocketAddr, Vec<u8>)>,
-) -> Callers {
+) -> RunningServers {
     daemon.spawn(peers::accept(daemon.clone(), listeners.peers));
     let socket = Rc::new(listeners.datagrams);
-    daemon.spawn(receive(daemon.clone(), socket.clone()));
-    daemon.spawn(send(socket, outgoing));
+    daemon.spawn(receive_datagrams(daemon.clone(), socket.clone()));
+    daemon.spawn(send_datagrams(socket, outgoing));
     let settings = daemon.settings();
     let control = Rc::new(EntryControl::new(daemon.clone()));
     let gateway = Rc::new(EntryGateway::new(daemon.clone()));
@@ -104,7 +104,7 @@
     };
     let operators = start_operators(daemon, listeners.operators, ports.operators.clone());
     let (stop, task) = start_callers(daemon, listeners.callers, ports.callers.clone());
-    Callers {
+    RunningServers {
         stop,
         task,
         _operators: operators,
@@ -117,12 +117,12 @@
     listener: TcpListener,
     port: Rc<CallersPort>,
 ) -> (Sender<()>, Task<()>) {
-    let (stop, stopped) = async_channel::bounded(1);
+    let (stop, stop_requested) = async_channel::bounded(1);
     let settings = daemon.settings();
     let executor = daemon.executor.clone();
     let task = daemon.executor.spawn(async move {
-        // The server waits out accept errors and ends only when told to.
-        let _ = callers::serve(listener, &settings.limits, port, executor, stopped).await;
+        // The server retries after accept errors and returns only when `stop` is closed.
+        let _ = callers::serve(listener, &settings.limits, port, executor, stop_requested).await;
     });
     (stop, task)
 }
@@ -132,19 +132,19 @@
     listener: TcpListener,
     port: Rc<OperatorsPort>,
 ) -> Sender<()> {
-    let (stop, stopped) = async_channel::bounded(1);
+    let (stop, stop_requested) = async_channel::bounded(1);
     let executor = daemon.executor.clone();
     daemon.spawn(async move {
-        let _ = operators::serve(listener, port, executor, stopped).await;
+        let _ = operators::serve(listener, port, executor, stop_requested).await;
     });
     stop
 }
 
-async fn receive(daemon: Rc<Daemon>, socket: Rc<UdpSocket>) {
-    let mut buffer = [0; RECEIVE_BYTES];
+async fn receive_datagrams(daemon: Rc<Daemon>, socket: Rc<UdpSocket>) {
+    let mut buffer = [0; RECEIVE_BUFFER_BYTES];
     loop {
         let Ok((bytes, from)) = socket.recv_from(&mut buffer).await else {
-            smol::Timer::after(RECEIVE_PAUSE_MS).await;
+            smol::Timer::after(RECEIVE_RETRY_DELAY_MS).await;
             continue;
         };
         let decoded = Datagram::decode(&buffer[..bytes], &daemon.keys.borrow());
@@ -154,7 +154,7 @@
                     let now = daemon.clock.now();
                     daemon.heads.borrow_mut().insert(from, (head, now));
                 }
-                daemon.feed(Event::Datagram(datagram));
+                daemon.handle_event(Event::Datagram(datagram));
             }
             Err(error) => daemon.note(&Note::DatagramRefused {
                 detail: format!("{from}: {error}"),
@@ -163,9 +163,9 @@
     }
 }
 
-async fn send(socket: Rc<UdpSocket>, outgoing: Receiver<(SocketAddr, Vec<u8>)>) {
+async fn send_datagrams(socket: Rc<UdpSocket>, outgoing: Receiver<(SocketAddr, Vec<u8>)>) {
     while let Ok((to, bytes)) = outgoing.recv().await {
-        // Datagrams may be lost anywhere; the next one is due within a second.
+        // A lost datagram needs no retry; the next one is sent within a second.
         let _ = socket.send_to(&bytes, to).await;
     }
 }
--- a/components/entry/src/daemon/log.rs
+++ b/components/entry/src/daemon/log.rs
@@ -1,4 +1,4 @@
-//! Log records of the core's notes.
+//! Writes log events of the core as log records.
 
 use slog::Logger;
 use slog::debug;
@@ -8,7 +8,7 @@
 
 use crate::core::Note;
 
-/// Writes one record.
+/// Writes the record of a log event.
 pub fn write(logger: &Logger, note: &Note) {
     let code = note.code();
     match note {
@@ -34,7 +34,7 @@
             warn!(logger, "target connection lost";
                 "code" => code, "target" => target, "detail" => detail);
         }
-        Note::AgentGone {
+        Note::AgentRunEnded {
             target,
             incarnation,
         } => warn!(logger, "agent was replaced";
--- a/components/entry/src/daemon/meters.rs
+++ b/components/entry/src/daemon/meters.rs
@@ -1,4 +1,4 @@
-//! Metrics of an entry, in Prometheus text form.
+//! Metrics of an entry in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -13,18 +13,18 @@
 use crate::core::EntryCore;
 use crate::core::Note;
 
-/// Time between two runs of `Meters::sort_samples`. The recorder keeps each sample of a
-/// histogram until then, 16 bytes a request, however long nobody reads the metrics.
-pub const SORT_MS: Duration = Duration::from_secs(1);
+/// Interval of `Meters::run_upkeep`. Until then the recorder keeps each sample of a histogram, 16
+/// bytes per request, so without upkeep memory grows while the metrics are not scraped.
+pub const UPKEEP_INTERVAL_MS: Duration = Duration::from_secs(1);
 
-/// Recorder of this process.
+/// Metrics recorder of this process.
 pub struct Meters {
     handle: PrometheusHandle,
 }
 
 impl Meters {
-    /// Makes the recorder that of the whole process. A second call in the same process, as in
-    /// tests, records into the first one.
+    /// Installs the recorder of the process. After a second call in the same process, as in tests,
+    /// metrics are still recorded by the first one.
     pub fn install() -> eyre::Result<Self> {
         let recorder = PrometheusBuilder::new()
             .set_buckets(&[
@@ -36,12 +36,12 @@
         Ok(Self { handle })
     }
 
-    /// Puts samples of histograms into their buckets.
-    pub fn sort_samples(&self) {
+    /// Aggregates histogram samples into their buckets.
+    pub fn run_upkeep(&self) {
         self.handle.run_upkeep();
     }
 
-    /// Records what a log event tells.
+    /// Updates the metrics that depend on a log event.
     pub fn note(note: &Note) {
         match note {
             Note::RequestSettled { summary, .. } => record(summary),
@@ -59,13 +59,13 @@
         }
     }
 
-    /// All metrics as text.
+    /// Renders all metrics as text.
     pub fn render(&self, core: &EntryCore) -> String {
         gauge!("chervilspool_requests_in_flight").set(count(core.in_flight()));
         let revision = core.snapshot().map_or(0, |snapshot| snapshot.revision());
         #[allow(clippy::cast_precision_loss)] // exact up to 2^53 changes
         gauge!("chervilspool_revision").set(revision as f64);
-        self.sort_samples();
+        self.run_upkeep();
         self.handle.render()
     }
 }
--- a/components/entry/src/daemon/mod.rs
+++ b/components/entry/src/daemon/mod.rs
@@ -1,7 +1,8 @@
-//! The daemon: one loop on one thread that carries out what the decisions ask for.
+//! Runs the core: turns I/O into its events and executes its actions.
 //!
-//! Every task runs on one `LocalExecutor`. Tasks move bytes and call `Daemon::feed`; no action
-//! calls `feed` before all actions of an event are under way.
+//! All tasks run on one `LocalExecutor`. They transfer bytes and call `Daemon::handle_event`. An
+//! action never calls it directly, only from a task that it starts, so that all actions of an event
+//! are started before the next event.
 
 mod gateway;
 mod link;
@@ -61,28 +62,30 @@
 use crate::daemon::meters::Meters;
 use crate::options;
 
-/// Time within which a call to the table must be decided. Shorter than a lease, so that a lease
-/// is not renewed late, and than most deadlines, so that a claim is refused in time.
-const TABLE_GIVE_UP_MS: std::time::Duration = std::time::Duration::from_secs(3);
+/// Timeout of a call to the table with its retries. It is shorter than the duration of a lease, so
+/// that leases are renewed before they expire, and than most deadlines, so that a request whose
+/// claim cannot be written is refused before its deadline.
+const TABLE_CALL_TIMEOUT_MS: std::time::Duration = std::time::Duration::from_secs(3);
 
-/// Longest silence of the object store within a call; as long as a resend waits for its answer.
-const OBJECT_ANSWER_MS: std::time::Duration = std::time::Duration::from_secs(5);
-/// Longest call to the object store: 1 MiB at 1 Mbit/s. Few calls are made at once, and a store
-/// that trickles must not hold them up for good.
-const OBJECT_CALL_MS: std::time::Duration = std::time::Duration::from_secs(10);
+/// Timeout without data from the object store within a call, as long as a resend waits for its
+/// answer.
+const OBJECT_READ_TIMEOUT_MS: std::time::Duration = std::time::Duration::from_secs(5);
+/// Timeout of a call to the object store, enough for 1 MiB at 1 Mbit/s. Few calls run concurrently,
+/// so a store that sends data very slowly would block them.
+const OBJECT_CALL_TIMEOUT_MS: std::time::Duration = std::time::Duration::from_secs(10);
 
 struct Connection {
     outbox: Sender<ToAgent>,
     _task: Task<()>,
 }
 
-/// Everything that the tasks of a daemon share.
+/// State shared by the tasks of the daemon.
 pub(crate) struct Daemon {
     core: RefCell<EntryCore>,
     clock: Rc<dyn Clock>,
     executor: Rc<LocalExecutor<'static>>,
     settings: RefCell<Rc<EntrySettings>>,
-    file: PathBuf,
+    settings_file: PathBuf,
     keys: RefCell<Keyring>,
     table: Rc<dyn Table>,
     objects: Rc<dyn ObjectStore>,
@@ -93,66 +96,76 @@
     peers: RefCell<HashMap<Incarnation, Sender<ToPeer>>>,
     heads: RefCell<HashMap<SocketAddr, (u64, Instant)>>,
     datagrams: Sender<(SocketAddr, Vec<u8>)>,
-    rearm: Sender<()>,
-    armed: Cell<Instant>,
-    staying: Cell<bool>,
+    reschedule: Sender<()>,
+    next_tick_at: Cell<Instant>,
+    is_in_service: Cell<bool>,
     meters: Meters,
     logger: Logger,
 }
 
-/// Serves until the process is asked to stop and everything in flight has finished. `file` is
-/// read again on SIGHUP.
+/// Serves until the process is asked to stop and all requests in flight have finished.
+/// `settings_file` is read again on SIGHUP.
 ///
 /// # Errors
 ///
-/// An address is taken, or the settings cannot work.
-pub fn run(settings: EntrySettings, file: &Path) -> eyre::Result<()> {
+/// Fails if an address cannot be bound or the settings are invalid.
+pub fn run(settings: EntrySettings, settings_file: &Path) -> eyre::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let serving = serve(settings, file.to_owned(), executor.clone());
+    let serving = serve(settings, settings_file.to_owned(), executor.clone());
     smol::block_on(executor.run(serving))
 }
 
 async fn serve(
     settings: EntrySettings,
-    file: PathBuf,
+    settings_file: PathBuf,
     executor: Rc<LocalExecutor<'static>>,
 ) -> eyre::Result<()> {
     let listeners = listeners::bind(&settings).await?;
     let (datagrams, outgoing) = async_channel::unbounded();
-    let (rearm, rearmed) = async_channel::bounded(1);
-    let daemon = Rc::new(Daemon::new(settings, file, executor, datagrams, rearm)?);
-    let signals = signals::Stop::listen().wrap_err("cannot listen for signals")?;
+    let (reschedule, rescheduled) = async_channel::bounded(1);
+    let daemon = Rc::new(Daemon::new(
+        settings,
+        settings_file,
+        executor,
+        datagrams,
+        reschedule,
+    )?);
+    let signals = signals::StopSignals::listen().wrap_err("cannot listen for signals")?;
     let incarnation = daemon.incarnation();
     daemon.note(&Note::Started { incarnation });
-    daemon.spawn(timer::run(daemon.clone(), rearmed));
-    daemon.spawn(sort_samples(daemon.clone()));
-    let callers = listeners::start(&daemon, listeners, outgoing);
-    signals::spawn_reload(&daemon, &callers).wrap_err("cannot listen for signals")?;
+    daemon.spawn(timer::run(daemon.clone(), rescheduled));
+    daemon.spawn(run_upkeep(daemon.clone()));
+    let servers = listeners::start(&daemon, listeners, outgoing);
+    signals::spawn_reload(&daemon, &servers).wrap_err("cannot listen for signals")?;
     let notice_ms = daemon.settings().intervals.balancer_notice_ms;
     signals
-        .wait(notice_ms, || daemon.staying.set(false), &daemon.logger)
+        .wait_for_stop(
+            notice_ms,
+            || daemon.is_in_service.set(false),
+            &daemon.logger,
+        )
         .await;
-    callers.finish().await;
-    daemon.feed(Event::Leaving);
-    daemon.drained().await;
+    servers.shut_down().await;
+    daemon.handle_event(Event::Leaving);
+    daemon.wait_until_idle().await;
     daemon.note(&Note::Stopped);
     Ok(())
 }
 
-async fn sort_samples(daemon: Rc<Daemon>) {
+async fn run_upkeep(daemon: Rc<Daemon>) {
     loop {
-        smol::Timer::after(meters::SORT_MS).await;
-        daemon.meters.sort_samples();
+        smol::Timer::after(meters::UPKEEP_INTERVAL_MS).await;
+        daemon.meters.run_upkeep();
     }
 }
 
 impl Daemon {
     fn new(
         settings: EntrySettings,
-        file: PathBuf,
+        settings_file: PathBuf,
         executor: Rc<LocalExecutor<'static>>,
         datagrams: Sender<(SocketAddr, Vec<u8>)>,
-        rearm: Sender<()>,
+        reschedule: Sender<()>,
     ) -> eyre::Result<Self> {
         let logger = startup::logger(settings.log).new(slog::o!("entry" => settings.name.clone()));
         let meters = Meters::install().wrap_err("cannot install the metrics recorder")?;
@@ -169,7 +182,7 @@
         };
         let http_table = HttpTable::new(settings.platform.table, HttpOptions::default());
         let retries = RetryOptions {
-            give_up_ms: TABLE_GIVE_UP_MS,
+            give_up_ms: TABLE_CALL_TIMEOUT_MS,
             ..RetryOptions::default()
         };
         let table: Rc<dyn Table> = Rc::new(Guarded::new(
@@ -179,13 +192,17 @@
             incarnation,
         ));
         let options = HttpOptions {
-            answer_ms: OBJECT_ANSWER_MS,
+            answer_ms: OBJECT_READ_TIMEOUT_MS,
             ..HttpOptions::default()
         };
         let objects = HttpObjectStore::new(settings.platform.objects, options);
         let hosts = HttpHostList::new(settings.platform.hosts, HttpOptions::default());
         Ok(Self {
-            core: RefCell::new(EntryCore::new(options::core(&settings), incarnation, now)),
+            core: RefCell::new(EntryCore::new(
+                options::core_options(&settings),
+                incarnation,
+                now,
+            )),
             control: control::Executor::new(
                 table.clone(),
                 clock.clone(),
@@ -195,7 +212,7 @@
             clock,
             executor,
             settings: RefCell::new(Rc::new(settings)),
-            file,
+            settings_file,
             keys: RefCell::new(keys),
             table,
             objects: Rc::new(objects),
@@ -205,9 +222,9 @@
             peers: RefCell::default(),
             heads: RefCell::default(),
             datagrams,
-            rearm,
-            armed: Cell::new(now),
-            staying: Cell::new(true),
+            reschedule,
+            next_tick_at: Cell::new(now),
+            is_in_service: Cell::new(true),
             meters,
             logger,
         })
@@ -217,7 +234,7 @@
         self.core.borrow().incarnation()
     }
 
-    /// Keys for a new connection.
+    /// Keys that authenticate new connections and datagrams.
     pub(crate) fn keys(&self) -> Keyring {
         self.keys.borrow().clone()
     }
@@ -230,8 +247,8 @@
         self.executor.spawn(future).detach();
     }
 
-    /// Tells the core of an event and carries out its actions, in order.
-    pub(crate) fn feed(self: &Rc<Self>, event: Event) {
+    /// Passes an event to the core and executes its actions, in order.
+    pub(crate) fn handle_event(self: &Rc<Self>, event: Event) {
         let now = self.clock.now();
         let (actions, wake) = {
             let mut core = self.core.borrow_mut();
@@ -239,15 +256,15 @@
             (actions, core.next_wake())
         };
         for action in actions {
-            self.carry_out(action);
+            self.execute_action(action);
         }
-        if wake < self.armed.get() {
-            // A full channel means that the timer is about to look again anyway.
-            let _ = self.rearm.try_send(());
+        if wake < self.next_tick_at.get() {
+            // If the channel is full, the timer is about to read the next tick anyway.
+            let _ = self.reschedule.try_send(());
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn execute_action(self: &Rc<Self>, action: Action) {
         match action {
             Action::Reply { request, reply } => self.reply(request, reply),
             Action::OpenLink {
@@ -256,15 +273,16 @@
                 address,
             } => {
                 let (outbox, messages) = async_channel::unbounded();
-                let running = link::run(self.clone(), link, target, address, messages);
+                let task = link::run(self.clone(), link, target, address, messages);
                 let connection = Connection {
                     outbox,
-                    _task: self.executor.spawn(running),
+                    _task: self.executor.spawn(task),
                 };
                 self.links.borrow_mut().insert(link, connection);
             }
             Action::CloseLink { link } => {
-                // Dropped after the borrow has ended, since its task may own the last handle.
+                // Dropped after the borrow has ended, as the task may own the last reference to the
+                // daemon.
                 let closed = self.links.borrow_mut().remove(&link);
                 drop(closed);
             }
@@ -278,39 +296,41 @@
                 let daemon = self.clone();
                 self.spawn(async move {
                     let result = daemon.table.call(request).await;
-                    daemon.feed(Event::TableDone { operation, result });
+                    daemon.handle_event(Event::TableDone { operation, result });
                 });
             }
             Action::Object { operation, request } => {
                 let daemon = self.clone();
                 self.spawn(async move {
-                    let late = async {
-                        smol::Timer::after(OBJECT_CALL_MS).await;
-                        Err(StoreError::Unanswered("no answer in time".to_owned()))
+                    let timeout = async {
+                        smol::Timer::after(OBJECT_CALL_TIMEOUT_MS).await;
+                        Err(StoreError::Unanswered(
+                            "no complete answer within the call timeout".to_owned(),
+                        ))
                     };
                     let call = objects::call(&*daemon.objects, request);
-                    let result = smol::future::or(call, late).await;
-                    daemon.feed(Event::ObjectDone { operation, result });
+                    let result = smol::future::or(call, timeout).await;
+                    daemon.handle_event(Event::ObjectDone { operation, result });
                 });
             }
             Action::ReadHosts => {
                 let daemon = self.clone();
                 self.spawn(async move {
                     let result = daemon.hosts.hosts().await;
-                    daemon.feed(Event::Hosts(result));
+                    daemon.handle_event(Event::Hosts(result));
                 });
             }
             Action::AskPeer { address, after } => {
-                self.spawn(peers::ask(self.clone(), address, after));
+                self.spawn(peers::request_changes(self.clone(), address, after));
             }
-            Action::AnswerPeer { peer, answer } => peers::answer(self, peer, answer),
+            Action::AnswerPeer { peer, answer } => peers::send_answer(self, peer, answer),
             Action::PlanOrder {
                 held,
                 target,
                 kind,
                 reason,
-            } => self.plan_order(held, target, kind, reason),
-            Action::KeepPlan { held, reason } => self.keep_plan(held, reason),
+            } => self.write_planned_order(held, target, kind, reason),
+            Action::KeepPlan { held, reason } => self.record_kept_plan(held, reason),
             Action::Note(note) => self.note(&note),
         }
     }
@@ -321,12 +341,12 @@
     }
 
     fn reply(&self, request: RequestId, reply: Reply) {
-        let last = matches!(reply, Reply::End | Reply::Refused(_));
+        let is_last = matches!(reply, Reply::End | Reply::Refused(_));
         let mut replies = self.replies.borrow_mut();
         if let Some(sender) = replies.get(&request) {
             let _ = sender.try_send(reply);
         }
-        if last {
+        if is_last {
             replies.remove(&request);
         }
     }
@@ -342,7 +362,7 @@
         }
     }
 
-    async fn drained(&self) {
+    async fn wait_until_idle(&self) {
         while !self.core.borrow().is_idle(self.clock.now()) {
             smol::Timer::after(timer::DRAIN_POLL_MS).await;
         }
--- a/components/entry/src/daemon/operator.rs
+++ b/components/entry/src/daemon/operator.rs
@@ -1,4 +1,4 @@
-//! The entry as the operators' port sees it, and planned orders.
+//! Connects the operators' port to the core, and writes planned orders.
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
 use crate::core::Event;
 use crate::daemon::Daemon;
 
-/// Carries out operators' commands.
+/// Executes commands and queries of operators.
 pub struct EntryControl {
     daemon: Rc<Daemon>,
 }
@@ -44,7 +44,7 @@
         Box::pin(async move {
             let outcome = self.daemon.control.execute(&operator, &request).await?;
             if !outcome.dry_run {
-                self.daemon.hint(outcome.change.revision);
+                self.daemon.notify_revision(outcome.change.revision);
             }
             Ok(outcome)
         })
@@ -71,8 +71,8 @@
         let heads = self.daemon.heads.borrow();
         let entries: Vec<Value> = heads
             .iter()
-            .map(|(address, (revision, seen))| {
-                let age_ms = now.saturating_duration_since(*seen).as_millis();
+            .map(|(address, (revision, received_at))| {
+                let age_ms = now.saturating_duration_since(*received_at).as_millis();
                 let name = settings.peer_name(*address);
                 json!({"name": name, "address": address, "revision": revision, "age_ms": age_ms})
             })
@@ -98,12 +98,12 @@
 }
 
 impl Daemon {
-    /// Reads the log at once instead of at the next poll.
-    fn hint(self: &Rc<Self>, head: Revision) {
-        self.feed(Event::Datagram(Datagram::Head { entry: 0, head }));
+    /// Makes the core read the change log now instead of at its next poll.
+    fn notify_revision(self: &Rc<Self>, head: Revision) {
+        self.handle_event(Event::Datagram(Datagram::Head { entry: 0, head }));
     }
 
-    pub(super) fn plan_order(
+    pub(super) fn write_planned_order(
         self: &Rc<Self>,
         held: HeldLease,
         target: TargetName,
@@ -121,14 +121,14 @@
             };
             let result = daemon.apply_planned(&intent, &reason).await;
             let error = result.err().map(|error| error.to_string());
-            daemon.feed(Event::OrderPlanned { service, error });
+            daemon.handle_event(Event::OrderPlanned { service, error });
         });
     }
 
-    pub(super) fn keep_plan(self: &Rc<Self>, held: HeldLease, reason: String) {
+    pub(super) fn record_kept_plan(self: &Rc<Self>, held: HeldLease, reason: String) {
         let daemon = self.clone();
         self.spawn(async move {
-            // The audit trail lacks this record if the lease was lost; the new holder decides.
+            // If the lease was lost, the record is not written, as the new holder decides now.
             let _ = daemon.apply_planned(&PlanKept { held }, &reason).await;
         });
     }
@@ -140,7 +140,7 @@
         let by = format!("planner on {}", self.settings().name);
         let author = Author { by: &by, reason };
         if let Some(change) = self.control.apply(intent, author).await? {
-            self.hint(change.revision);
+            self.notify_revision(change.revision);
         }
         Ok(())
     }
--- a/components/entry/src/daemon/peers.rs
+++ b/components/entry/src/daemon/peers.rs
@@ -1,4 +1,4 @@
-//! Exchange of the change log between entries while the table does not answer.
+//! Exchange of the change log between entries while the table is unavailable.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,21 +20,21 @@
 use crate::core::Note;
 use crate::daemon::Daemon;
 
-/// Longest exchange; a snapshot of the whole fleet takes well under a second.
-const EXCHANGE_MS: Duration = Duration::from_secs(10);
-/// Pause after a failed accept, for example without free file descriptors.
-const ACCEPT_PAUSE_MS: Duration = Duration::from_millis(100);
+/// Timeout of an exchange; a snapshot of the whole fleet takes well under a second.
+const EXCHANGE_TIMEOUT_MS: Duration = Duration::from_secs(10);
+/// Delay after a failed accept, for example when no file descriptor is free.
+const ACCEPT_RETRY_DELAY_MS: Duration = Duration::from_millis(100);
 
-/// Serves other entries.
+/// Accepts connections from other entries.
 pub async fn accept(daemon: Rc<Daemon>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            Timer::after(ACCEPT_PAUSE_MS).await;
+            Timer::after(ACCEPT_RETRY_DELAY_MS).await;
             continue;
         };
         let serving = daemon.clone();
         daemon.spawn(async move {
-            let served = within_limit(serve(&serving, stream)).await;
+            let served = with_timeout(serve(&serving, stream)).await;
             if let Err(error) = served {
                 serving.note(&Note::PeerRefused {
                     detail: format!("{from}: {error}"),
@@ -56,7 +56,7 @@
     let receive = async {
         while let Some(message) = reader.next_message().await? {
             if let ToPeer::ChangesAfter(after) = message {
-                daemon.feed(Event::PeerAsks { peer, after });
+                daemon.handle_event(Event::PeerAsks { peer, after });
             }
         }
         Ok(())
@@ -66,8 +66,8 @@
     result
 }
 
-/// Sends an answer to a connected peer; one that has left does not need it.
-pub fn answer(daemon: &Daemon, peer: Incarnation, answer: PeerAnswer) {
+/// Sends an answer to a peer, unless it has disconnected.
+pub fn send_answer(daemon: &Daemon, peer: Incarnation, answer: PeerAnswer) {
     let message = match answer {
         PeerAnswer::Changes { head, records } => ToPeer::Changes { head, records },
         PeerAnswer::Snapshot {
@@ -87,9 +87,10 @@
     }
 }
 
-/// Asks a peer for the changes after a revision. A failure is left to the next try.
-pub async fn ask(daemon: Rc<Daemon>, address: SocketAddr, after: Revision) {
-    let _ = within_limit(exchange(&daemon, address, after)).await;
+/// Requests the changes after a revision from a peer. After a failure the follower requests them
+/// again.
+pub async fn request_changes(daemon: Rc<Daemon>, address: SocketAddr, after: Revision) {
+    let _ = with_timeout(exchange(&daemon, address, after)).await;
 }
 
 async fn exchange(
@@ -106,7 +107,7 @@
     };
     writer.send(&ToPeer::Hello(hello)).await?;
     writer.send(&ToPeer::ChangesAfter(after)).await?;
-    // Identifies this exchange, so that parts of two snapshots are not mixed.
+    // Identifies this exchange, so that parts of different snapshots are not combined.
     let peer = rand::random();
     while let Some(message) = reader.next_message().await? {
         let (answer, is_last) = match message {
@@ -127,7 +128,7 @@
             }
             ToPeer::Hello(_) | ToPeer::ChangesAfter(_) => return Ok(()),
         };
-        daemon.feed(Event::PeerAnswered { peer, answer });
+        daemon.handle_event(Event::PeerAnswered { peer, answer });
         if is_last {
             return Ok(());
         }
@@ -135,12 +136,12 @@
     Ok(())
 }
 
-async fn within_limit(
+async fn with_timeout(
     exchange: impl Future<Output = Result<(), SessionError>>,
 ) -> Result<(), SessionError> {
-    let limit = async {
-        Timer::after(EXCHANGE_MS).await;
+    let timeout = async {
+        Timer::after(EXCHANGE_TIMEOUT_MS).await;
         Ok(())
     };
-    smol::future::or(exchange, limit).await
+    smol::future::or(exchange, timeout).await
 }
--- a/components/entry/src/daemon/signals.rs
+++ b/components/entry/src/daemon/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask the process to stop.
+//! Signals that stop the process or reload its settings.
 
 use std::io;
 use std::rc::Rc;
@@ -13,47 +13,52 @@
 
 use crate::core::Note;
 use crate::daemon::Daemon;
-use crate::daemon::listeners::Callers;
 use crate::daemon::listeners::Ports;
+use crate::daemon::listeners::RunningServers;
 
-/// Waits for SIGTERM or SIGINT.
-pub struct Stop {
+/// Receives SIGTERM and SIGINT.
+pub struct StopSignals {
     signals: Signals,
 }
 
-impl Stop {
-    /// Starts to listen.
+impl StopSignals {
+    /// Registers the signal handlers.
     pub fn listen() -> io::Result<Self> {
         let signals = Signals::new([Signal::Term, Signal::Int])?;
         Ok(Self { signals })
     }
 
-    /// Waits for a signal, calls `leaving`, and returns when the balancer has had `notice_ms` to
+    /// Waits for a signal, calls `on_stop`, and returns when the balancer has had `notice_ms` to
     /// notice. A second signal ends only that wait.
-    pub async fn wait(mut self, notice_ms: Duration, leaving: impl FnOnce(), logger: &Logger) {
+    pub async fn wait_for_stop(
+        mut self,
+        notice_ms: Duration,
+        on_stop: impl FnOnce(),
+        logger: &Logger,
+    ) {
         let _ = self.signals.next().await;
         info!(logger, "stop requested, health check fails from now on";
-            "code" => "CS1005", "notice_ms" => millis(notice_ms));
-        leaving();
-        let noticed = async {
+            "code" => "CS1005", "notice_ms" => as_ms(notice_ms));
+        on_stop();
+        let notice_over = async {
             Timer::after(notice_ms).await;
             false
         };
-        let repeated = async {
+        let second_signal = async {
             let _ = self.signals.next().await;
             true
         };
-        if smol::future::or(noticed, repeated).await {
+        if smol::future::or(notice_over, second_signal).await {
             info!(logger, "second stop request, not waiting for the balancer"; "code" => "CS1006");
         }
     }
 }
 
-/// Reads the settings again on every SIGHUP. Connections that are open keep the key that they
-/// began with; new ones use the new keys.
-pub fn spawn_reload(daemon: &Rc<Daemon>, callers: &Callers) -> io::Result<()> {
+/// Reloads the settings on SIGHUP. Open connections keep the key with which they were
+/// established; new ones use the new keys.
+pub fn spawn_reload(daemon: &Rc<Daemon>, servers: &RunningServers) -> io::Result<()> {
     let mut signals = Signals::new([Signal::Hup])?;
-    let (daemon, ports) = (daemon.clone(), callers.ports.clone());
+    let (daemon, ports) = (daemon.clone(), servers.ports.clone());
     daemon.clone().spawn(async move {
         while signals.next().await.is_some() {
             let error = reload(&daemon, &ports).err();
@@ -64,7 +69,7 @@
 }
 
 fn reload(daemon: &Daemon, ports: &Ports) -> Result<(), String> {
-    let merged = settings::reload_entry(&daemon.settings(), &daemon.file)
+    let merged = settings::reload_entry(&daemon.settings(), &daemon.settings_file)
         .map_err(|error| error.to_string())?;
     let keys = startup::keyring(&merged.keys).ok_or("`keys` is empty")?;
     ports.callers.set_limits(&merged.limits);
@@ -74,6 +79,6 @@
     Ok(())
 }
 
-fn millis(duration: Duration) -> u64 {
+fn as_ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/components/entry/src/daemon/timer.rs
+++ b/components/entry/src/daemon/timer.rs
@@ -1,4 +1,4 @@
-//! Feeds a tick whenever the core needs one.
+//! Passes a tick to the core whenever one is due.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 use crate::core::Event;
 use crate::daemon::Daemon;
 
-/// Between two looks at whether a stopping daemon has finished.
+/// Interval of checking whether a stopping daemon has finished.
 pub const DRAIN_POLL_MS: Duration = Duration::from_millis(20);
 
-/// Runs until the daemon ends. `rearmed` tells that an earlier tick is needed.
-pub async fn run(daemon: Rc<Daemon>, rearmed: Receiver<()>) {
+/// Runs until the daemon ends. A message on `rescheduled` means that an earlier tick is due.
+pub async fn run(daemon: Rc<Daemon>, rescheduled: Receiver<()>) {
     loop {
         let wake = daemon.core.borrow().next_wake();
-        daemon.armed.set(wake);
+        daemon.next_tick_at.set(wake);
         if wake <= daemon.clock.now() {
-            daemon.feed(Event::Tick);
-            // Sockets get their turn even while ticks are due all the time.
+            daemon.handle_event(Event::Tick);
+            // Lets other tasks run even while ticks are due continuously.
             smol::future::yield_now().await;
             continue;
         }
-        let slept = async {
+        let tick_due = async {
             Timer::at(wake).await;
         };
-        let earlier = async {
-            let _ = rearmed.recv().await;
+        let earlier_tick = async {
+            let _ = rescheduled.recv().await;
         };
-        smol::future::or(slept, earlier).await;
+        smol::future::or(tick_due, earlier_tick).await;
     }
 }
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon on an entry host: accepts callers' requests and sees them answered.
+//! Daemon of an entry host: accepts requests from callers and routes them to targets.
 //!
-//! `core` holds the decisions, a state machine without I/O. `daemon` turns sockets and timers
-//! into its events and carries out its actions, all on one thread.
+//! `core` is a state machine without I/O. `daemon` turns socket and timer events into its inputs
+//! and executes its actions, all on one thread.
 
 pub mod core;
 mod daemon;
--- a/components/entry/src/options.rs
+++ b/components/entry/src/options.rs
@@ -1,4 +1,4 @@
-//! Turns settings into the options of the decisions.
+//! Converts settings into options of the core.
 
 use control::FollowerOptions;
 use settings::EntrySettings;
@@ -6,10 +6,10 @@
 use crate::core::CoreOptions;
 use crate::core::links::LinkTimes;
 
-/// Options of the core.
+/// Options of the core with defaults for what has no setting.
 #[must_use]
-pub fn core(settings: &EntrySettings) -> CoreOptions {
-    let own = settings.addresses.peers;
+pub fn core_options(settings: &EntrySettings) -> CoreOptions {
+    let own_address = settings.addresses.peers;
     let mut routing = routing::Settings::new(settings.place.clone());
     routing.distance_ms.clone_from(&settings.distance_ms);
     CoreOptions {
@@ -27,10 +27,10 @@
         probe_ms: settings.intervals.probe_ms,
         hosts_poll_ms: settings.intervals.hosts_poll_ms,
         lease_ms: settings.intervals.lease_ms,
-        address: own,
+        address: own_address,
         peers: settings
             .peer_addresses()
-            .filter(|peer| *peer != own)
+            .filter(|peer| *peer != own_address)
             .collect(),
     }
 }
--- a/components/entry/tests/common/mod.rs
+++ b/components/entry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of the core share.
+//! Fixtures shared by the tests of the core.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use types::TargetState;
 use types::Work;
 
-/// A short question to the service `mesa`.
+/// Short completion request to the service `mesa`.
 pub fn work() -> Work {
     Work {
         service: "mesa".to_owned(),
@@ -33,7 +33,7 @@
     }
 }
 
-/// Report of an idle target.
+/// Load report of an idle target.
 pub fn load(incarnation: Incarnation) -> LoadReport {
     LoadReport {
         incarnation,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Engine of the service `mesa`.
+/// Active target of the service `mesa`.
 pub fn target(index: u16, agent: SocketAddr, incarnation: Incarnation) -> Target {
     Target {
         name: format!("engine-{index}"),
--- a/components/entry/tests/core.rs
+++ b/components/entry/tests/core.rs
@@ -1,4 +1,4 @@
-//! The composed core against a table in memory.
+//! The core with a table and an object store in memory.
 
 mod common;
 
@@ -45,7 +45,7 @@
 const AGENT: Incarnation = 77;
 const TICK: Duration = Duration::from_millis(100);
 
-struct Bench {
+struct TestEntry {
     core: EntryCore,
     table: Rc<MemoryTable>,
     objects: Rc<MemoryObjectStore>,
@@ -54,12 +54,12 @@
     link: Option<u64>,
     replies: Vec<Reply>,
     sent: Vec<ToAgent>,
-    lost: Vec<String>,
-    /// Head that the latest probe stated.
+    lost_details: Vec<String>,
+    /// Head revision in the latest probe.
     head: u64,
 }
 
-impl Bench {
+impl TestEntry {
     fn new() -> Self {
         Self::with_incarnation(1)
     }
@@ -75,22 +75,22 @@
             link: None,
             replies: Vec::new(),
             sent: Vec::new(),
-            lost: Vec::new(),
+            lost_details: Vec::new(),
             head: 0,
         }
     }
 
-    /// Feeds an event and carries out all that follows from it at this time.
-    fn feed(&mut self, event: Event) {
+    /// Handles an event and those that its actions cause, without advancing the time.
+    fn handle(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             for action in self.core.handle(self.now, event) {
-                events.extend(self.carry_out(action));
+                events.extend(self.execute_action(action));
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) -> Option<Event> {
+    fn execute_action(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Table { operation, request } => {
                 let result = if self.is_table_up {
@@ -133,21 +133,21 @@
                 None
             }
             Action::Note(Note::TargetDown { detail, .. }) => {
-                self.lost.push(detail);
+                self.lost_details.push(detail);
                 None
             }
             _ => None,
         }
     }
 
-    fn wait(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
-            self.feed(Event::Tick);
+            self.handle(Event::Tick);
             if let Some(link) = self.link {
                 let message = ToEntry::Load(load(AGENT));
-                self.feed(Event::LinkMessage { link, message });
+                self.handle(Event::LinkMessage { link, message });
             }
         }
     }
@@ -165,10 +165,10 @@
     }
 
     fn configure(&self) {
-        self.configure_as(true);
+        self.configure_with(true);
     }
 
-    fn configure_as(&self, idempotent: bool) {
+    fn configure_with(&self, idempotent: bool) {
         self.execute(Command::CreateProfile {
             profile: Profile {
                 name: "desk".to_owned(),
@@ -206,14 +206,14 @@
             key: key.map(str::to_owned),
             deadline_ms: None,
         };
-        self.feed(Event::Submitted {
+        self.handle(Event::Submitted {
             request,
             submission,
         });
     }
 
-    /// The agent answers the last dispatch.
-    fn answer(&mut self, bytes: Vec<u8>) {
+    /// Sends an answer of the agent to the last dispatch.
+    fn answer_last_dispatch(&mut self, bytes: Vec<u8>) {
         let Some(ToAgent::Dispatch(dispatch)) = self.sent.last() else {
             panic!("no dispatch");
         };
@@ -240,21 +240,21 @@
             load: load(AGENT),
         };
         for message in [head, chunk, end] {
-            self.feed(Event::LinkMessage { link, message });
+            self.handle(Event::LinkMessage { link, message });
         }
     }
 
-    fn dispatches(&self) -> usize {
+    fn dispatch_count(&self) -> usize {
         let is_dispatch = |message: &&ToAgent| matches!(message, ToAgent::Dispatch(_));
         self.sent.iter().filter(is_dispatch).count()
     }
 
-    fn hints(&self) -> usize {
+    fn hint_count(&self) -> usize {
         let is_hint = |message: &&ToAgent| matches!(message, ToAgent::OrderHint { .. });
         self.sent.iter().filter(is_hint).count()
     }
 
-    fn refusal(&self) -> Option<(RefusalReason, RunState)> {
+    fn last_refusal(&self) -> Option<(RefusalReason, RunState)> {
         match self.replies.last() {
             Some(Reply::Refused(refusal)) => Some((refusal.reason, refusal.run)),
             _ => None,
@@ -262,156 +262,160 @@
     }
 }
 
-/// Guards against connections that are replaced without a record in the log.
+/// Guards against a connection that is replaced without a log record.
 #[test]
-fn notes_a_connection_that_went_silent() {
-    let mut bench = Bench::new();
-    bench.configure();
-    bench.wait(Duration::from_secs(1));
-    bench.submit();
-    bench.link = None;
-    bench.wait(Duration::from_secs(3));
-    assert_eq!(bench.lost, vec!["silent for too long"]);
+fn logs_the_loss_of_a_silent_connection() {
+    let mut entry = TestEntry::new();
+    entry.configure();
+    entry.advance(Duration::from_secs(1));
+    entry.submit();
+    entry.link = None;
+    entry.advance(Duration::from_secs(3));
+    assert_eq!(
+        entry.lost_details,
+        vec!["no message within the silence limit"]
+    );
 }
 
-/// Guards against a fresh entry that claims to know that a service does not exist.
+/// An entry without configuration must not report that a service does not exist.
 #[test]
 fn refuses_as_not_ready_until_it_has_a_configuration() {
-    let mut bench = Bench::new();
-    bench.is_table_up = false;
-    bench.wait(Duration::from_secs(1));
-    bench.submit();
+    let mut entry = TestEntry::new();
+    entry.is_table_up = false;
+    entry.advance(Duration::from_secs(1));
+    entry.submit();
     let not_ready = (RefusalReason::NotReady, RunState::NotRun);
-    assert_eq!(bench.refusal(), Some(not_ready));
+    assert_eq!(entry.last_refusal(), Some(not_ready));
 }
 
-/// Guards against a table outage that stops requests which need no table.
+/// Guards against a table outage that affects requests which do not need the table.
 #[test]
-fn serves_from_the_snapshot_while_the_table_is_down() {
-    let mut bench = Bench::new();
-    bench.configure();
-    bench.wait(Duration::from_secs(2));
-    bench.is_table_up = false;
-    bench.wait(Duration::from_mins(1));
-    bench.submit();
-    assert_eq!(bench.dispatches(), 1);
+fn dispatches_from_the_snapshot_while_the_table_is_down() {
+    let mut entry = TestEntry::new();
+    entry.configure();
+    entry.advance(Duration::from_secs(2));
+    entry.is_table_up = false;
+    entry.advance(Duration::from_mins(1));
+    entry.submit();
+    assert_eq!(entry.dispatch_count(), 1);
 }
 
-/// Guards against new work on a target whose host is leaving, whatever its agent reports.
+/// Guards against dispatch to a target whose host is leaving while its agent reports no change.
 #[test]
-fn sends_nothing_to_a_target_on_a_leaving_host() {
-    let mut bench = Bench::new();
-    bench.configure();
-    bench.wait(Duration::from_secs(2));
-    bench.feed(Event::Hosts(Ok(vec![HostEntry {
+fn dispatches_nothing_to_a_target_on_a_leaving_host() {
+    let mut entry = TestEntry::new();
+    entry.configure();
+    entry.advance(Duration::from_secs(2));
+    entry.handle(Event::Hosts(Ok(vec![HostEntry {
         host: "host-0".to_owned(),
         state: HostState::Leaving,
     }])));
-    bench.submit();
-    assert_eq!(bench.dispatches(), 0);
+    entry.submit();
+    assert_eq!(entry.dispatch_count(), 0);
 
-    // A list without the host is no news while its agent answers.
-    bench.feed(Event::Hosts(Ok(Vec::new())));
-    bench.wait(Duration::from_millis(200));
-    assert_eq!(bench.dispatches(), 0);
+    // A list without the host does not change its state while its agent answers.
+    entry.handle(Event::Hosts(Ok(Vec::new())));
+    entry.advance(Duration::from_millis(200));
+    assert_eq!(entry.dispatch_count(), 0);
 
-    bench.feed(Event::Hosts(Ok(vec![HostEntry {
+    entry.handle(Event::Hosts(Ok(vec![HostEntry {
         host: "host-0".to_owned(),
         state: HostState::Live,
     }])));
-    bench.wait(Duration::from_millis(500));
-    assert_eq!(bench.dispatches(), 1);
+    entry.advance(Duration::from_millis(500));
+    assert_eq!(entry.dispatch_count(), 1);
 }
 
-/// Guards against a stop that leaves leases held or requests cut.
+/// Guards against a stop that leaves leases held or interrupts requests.
 #[test]
-fn is_idle_after_a_stop_only_when_requests_are_finished_and_leases_given_back() {
-    let mut bench = Bench::new();
-    bench.configure();
-    bench.wait(Duration::from_secs(8));
-    bench.submit();
-    bench.feed(Event::Leaving);
-    bench.wait(Duration::from_secs(1));
-    assert!(!bench.core.is_idle(bench.now), "one request is in flight");
-    bench.wait(Duration::from_mins(1));
-    assert!(bench.core.is_idle(bench.now));
+fn is_idle_after_a_stop_once_requests_are_finished_and_leases_released() {
+    let mut entry = TestEntry::new();
+    entry.configure();
+    entry.advance(Duration::from_secs(8));
+    entry.submit();
+    entry.handle(Event::Leaving);
+    entry.advance(Duration::from_secs(1));
+    assert!(!entry.core.is_idle(entry.now), "one request is in flight");
+    entry.advance(Duration::from_mins(1));
+    assert!(entry.core.is_idle(entry.now));
     let read = store::TableRequest::Read(vec![control::keys::lease("mesa")]);
-    let Ok(store::TableReply::Rows(rows)) = smol::block_on(bench.table.call(read)) else {
+    let Ok(store::TableReply::Rows(rows)) = smol::block_on(entry.table.call(read)) else {
         panic!("the table answers");
     };
     let row: control::LeaseRow = control::decode(&rows[0]).expect("a lease row");
     assert_eq!(row.holder, 0);
 }
 
-/// Guards against a stopping process that waits for good for a table that is down.
+/// Guards against a stopping process that waits indefinitely for an unavailable table.
 #[test]
 fn becomes_idle_within_the_lease_duration_while_the_table_is_down() {
-    let mut bench = Bench::new();
-    bench.configure();
-    bench.wait(Duration::from_secs(8));
-    bench.is_table_up = false;
-    bench.feed(Event::Leaving);
-    bench.wait(Duration::from_secs(7));
-    assert!(bench.core.is_idle(bench.now));
+    let mut entry = TestEntry::new();
+    entry.configure();
+    entry.advance(Duration::from_secs(8));
+    entry.is_table_up = false;
+    entry.handle(Event::Leaving);
+    entry.advance(Duration::from_secs(7));
+    assert!(entry.core.is_idle(entry.now));
 }
 
-/// Guards against an order that is found at the next poll only, because its hint was written to a
-/// connection that had gone silent.
+/// A hint written to a dead connection is lost; without a repeat the agent would find the order
+/// only at its next poll.
 #[test]
-fn hints_again_when_the_connection_of_a_hint_was_silent() {
-    let mut bench = Bench::new();
-    bench.configure();
-    bench.wait(Duration::from_secs(2));
-    assert_eq!(bench.hints(), 0);
-    bench.execute(Command::OrderTarget {
+fn repeats_a_hint_after_a_silent_connection_is_replaced() {
+    let mut entry = TestEntry::new();
+    entry.configure();
+    entry.advance(Duration::from_secs(2));
+    assert_eq!(entry.hint_count(), 0);
+    entry.execute(Command::OrderTarget {
         target: target(0, ([127, 0, 0, 1], 9).into(), AGENT).name,
         order: OrderKind::Drain,
     });
-    while bench.hints() == 0 {
-        bench.wait(TICK);
+    while entry.hint_count() == 0 {
+        entry.advance(TICK);
     }
-    bench.link = None;
-    bench.wait(Duration::from_secs(4));
-    assert_eq!(bench.hints(), 2);
+    entry.link = None;
+    entry.advance(Duration::from_secs(4));
+    assert_eq!(entry.hint_count(), 2);
 }
 
-/// Guards against agents that rely on an entry which does not hear of orders.
+/// Agents rely on entries that state a head revision; an entry that may have missed orders must not
+/// state one.
 #[test]
-fn states_no_head_in_probes_while_it_may_have_missed_changes() {
-    let mut bench = Bench::new();
-    bench.configure();
-    bench.wait(Duration::from_secs(3));
-    assert!(bench.head > 0);
-    bench.is_table_up = false;
-    bench.wait(Duration::from_secs(3));
-    assert_eq!(bench.head, 0);
-    bench.is_table_up = true;
-    bench.wait(Duration::from_secs(3));
-    assert!(bench.head > 0);
+fn probes_contain_no_head_while_changes_may_be_missing() {
+    let mut entry = TestEntry::new();
+    entry.configure();
+    entry.advance(Duration::from_secs(3));
+    assert!(entry.head > 0);
+    entry.is_table_up = false;
+    entry.advance(Duration::from_secs(3));
+    assert_eq!(entry.head, 0);
+    entry.is_table_up = true;
+    entry.advance(Duration::from_secs(3));
+    assert!(entry.head > 0);
 }
 
-/// Guards against calls to the object store whose ends do not reach the state machine that made
-/// them, and against a resend whose answer differs in status, media type or body.
+/// Guards against results of object-store calls that do not reach the state machine that made the
+/// call, and against a resend whose answer differs in status, media type or body.
 #[test]
-fn resend_at_another_entry_gets_the_same_answer_from_the_object_store() {
-    let mut first = Bench::new();
-    first.configure_as(false);
-    first.wait(Duration::from_secs(2));
+fn resend_to_another_entry_gets_the_same_answer_from_the_object_store() {
+    let mut first = TestEntry::new();
+    first.configure_with(false);
+    first.advance(Duration::from_secs(2));
     first.objects.set_outage(true);
     first.submit_with(Some("key"));
-    first.wait(Duration::from_millis(200));
-    first.answer((0..=u8::MAX).cycle().take(200_000).collect());
-    first.wait(Duration::from_secs(1));
+    first.advance(Duration::from_millis(200));
+    first.answer_last_dispatch((0..=u8::MAX).cycle().take(200_000).collect());
+    first.advance(Duration::from_secs(1));
     first.objects.set_outage(false);
-    first.wait(Duration::from_secs(10));
+    first.advance(Duration::from_secs(10));
 
-    let mut second = Bench::with_incarnation(2);
+    let mut second = TestEntry::with_incarnation(2);
     second.table = first.table.clone();
     second.objects = first.objects.clone();
-    second.wait(Duration::from_secs(2));
+    second.advance(Duration::from_secs(2));
     second.submit_with(Some("key"));
-    second.wait(Duration::from_secs(1));
-    assert_eq!(second.dispatches(), 0);
+    second.advance(Duration::from_secs(1));
+    assert_eq!(second.dispatch_count(), 0);
     assert_eq!(second.replies, first.replies);
     assert!(matches!(
         second.replies[..],
--- a/components/entry/tests/links.rs
+++ b/components/entry/tests/links.rs
@@ -1,4 +1,4 @@
-//! Connections to agents under random events.
+//! Connections to agents under random sequences of events.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,24 +15,24 @@
 use types::TargetName;
 
 const TARGETS: usize = 3;
-const STEP: Duration = Duration::from_millis(100);
+const TIME_STEP: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes.
+    /// This number of time steps pass.
     Wait(u8),
-    /// The row of a target names this address and run.
+    /// The row of a target names this port and incarnation.
     Set(usize, u16, Incarnation),
-    /// The agent of a target answers on its connection as this run.
+    /// The agent of a target sends `Welcome` with this incarnation.
     Welcome(usize, Incarnation),
-    /// A frame arrives on a connection, possibly an old one.
-    Frame(LinkId),
-    /// A message goes out on a connection, possibly an old one.
-    Sent(LinkId),
-    /// Only the connection to a target is in use.
-    Watch(usize),
-    /// A connection breaks, possibly an old one.
-    Break(LinkId),
+    /// A message arrives on a connection, possibly a closed one.
+    Receive(LinkId),
+    /// A message is sent on a connection, possibly a closed one.
+    Send(LinkId),
+    /// Only the connection to this target is in use.
+    Monitor(usize),
+    /// A connection fails, possibly a closed one.
+    Close(LinkId),
     /// A target is removed.
     Remove(usize),
 }
@@ -47,27 +47,27 @@
             3 => Self::Set(target, u16::arbitrary(g) % 2, incarnation),
             4 | 5 => Self::Welcome(target, incarnation),
             6 => match link % 3 {
-                0 => Self::Sent(link / 3),
-                1 => Self::Watch(target),
-                _ => Self::Frame(link),
+                0 => Self::Send(link / 3),
+                1 => Self::Monitor(target),
+                _ => Self::Receive(link),
             },
-            7 if bool::arbitrary(g) => Self::Break(link),
+            7 if bool::arbitrary(g) => Self::Close(link),
             _ => Self::Remove(target),
         }
     }
 }
 
-/// What an observer of the actions knows.
+/// Expected state of the connections after the actions so far.
 #[derive(Default)]
-struct Observer {
+struct ConnectionModel {
     open: BTreeMap<LinkId, TargetName>,
     up: BTreeMap<TargetName, Incarnation>,
-    gone: Vec<(TargetName, Incarnation)>,
+    ended: Vec<(TargetName, Incarnation)>,
 }
 
-impl Observer {
-    /// Takes note of actions; false if they contradict each other.
-    fn observe(&mut self, actions: Vec<LinkAction>) -> bool {
+impl ConnectionModel {
+    /// Applies actions; returns false if one is inconsistent with the state.
+    fn record_and_check(&mut self, actions: Vec<LinkAction>) -> bool {
         actions.into_iter().all(|action| match action {
             LinkAction::Open { link, target, .. } => {
                 let is_only = !self.open.values().any(|open| *open == target);
@@ -88,7 +88,7 @@
                 target,
                 incarnation,
             } => {
-                self.gone.push((target, incarnation));
+                self.ended.push((target, incarnation));
                 true
             }
         })
@@ -103,20 +103,20 @@
     SocketAddr::from(([127, 0, 0, 1], 1000 + port))
 }
 
-/// Guards against two connections to one target, messages on closed ones, and a target that is
-/// reported up or down twice.
+/// Guards against two connections to a target, messages on closed connections, and a target that
+/// is reported up or down twice.
 #[test]
-fn keeps_one_connection_to_each_target() {
+fn keeps_one_connection_per_target() {
     fn property(steps: Vec<Step>) -> bool {
         let mut now = Instant::now();
         let mut links = Links::new(LinkTimes::default());
-        let mut observer = Observer::default();
+        let mut model = ConnectionModel::default();
         steps.into_iter().all(|step| {
             let actions = match step {
                 Step::Wait(steps) => {
                     let mut actions = Vec::new();
                     for _ in 0..steps {
-                        now += STEP;
+                        now += TIME_STEP;
                         actions.extend(links.tick(now));
                     }
                     actions
@@ -126,35 +126,35 @@
                 }
                 Step::Welcome(target, incarnation) => {
                     let target = name(target);
-                    let link = observer.open.iter().find(|(_, open)| **open == target);
+                    let link = model.open.iter().find(|(_, open)| **open == target);
                     match link.map(|(link, _)| *link) {
-                        Some(link) if !observer.up.contains_key(&target) => {
-                            links.welcomed(now, link, &target, incarnation)
+                        Some(link) if !model.up.contains_key(&target) => {
+                            links.connection_established(now, link, &target, incarnation)
                         }
                         _ => Vec::new(),
                     }
                 }
-                Step::Frame(link) => {
-                    let heard = links.heard(now, link);
-                    let expected = observer.open.get(&link);
-                    let is_up = expected.is_some_and(|target| observer.up.contains_key(target));
-                    if heard.is_some() != is_up {
+                Step::Receive(link) => {
+                    let received = links.message_received(now, link);
+                    let expected = model.open.get(&link);
+                    let is_up = expected.is_some_and(|target| model.up.contains_key(target));
+                    if received.is_some() != is_up {
                         return false;
                     }
                     Vec::new()
                 }
-                Step::Sent(link) => {
-                    links.sent(now, link);
+                Step::Send(link) => {
+                    links.message_sent(now, link);
                     Vec::new()
                 }
-                Step::Watch(target) => {
-                    links.watch(now, |of| *of == name(target));
+                Step::Monitor(target) => {
+                    links.set_monitored(now, |of| *of == name(target));
                     Vec::new()
                 }
-                Step::Break(link) => links.closed(now, link),
+                Step::Close(link) => links.connection_closed(now, link),
                 Step::Remove(target) => links.remove(now, &name(target)),
             };
-            observer.observe(actions)
+            model.record_and_check(actions)
         })
     }
     seeded::check()
@@ -162,97 +162,97 @@
         .quickcheck(property as fn(Vec<Step>) -> bool);
 }
 
-/// Guards against a silent connection that is kept for good.
+/// Guards against a silent connection that is never replaced.
 #[test]
-fn replaces_a_connection_that_goes_silent() {
+fn replaces_a_silent_connection() {
     let mut now = Instant::now();
     let mut links = Links::new(LinkTimes::default());
-    let mut observer = Observer::default();
-    assert!(observer.observe(links.set(now, &name(0), address(0), 1)));
-    assert!(observer.observe(links.tick(now)));
-    assert!(observer.observe(links.welcomed(now, 1, &name(0), 1)));
-    links.sent(now, 1);
+    let mut model = ConnectionModel::default();
+    assert!(model.record_and_check(links.set(now, &name(0), address(0), 1)));
+    assert!(model.record_and_check(links.tick(now)));
+    assert!(model.record_and_check(links.connection_established(now, 1, &name(0), 1)));
+    links.message_sent(now, 1);
     let silence = Duration::from_secs(3);
     let end = now + silence;
     while now < end {
-        now += STEP;
-        assert!(observer.observe(links.tick(now)));
+        now += TIME_STEP;
+        assert!(model.record_and_check(links.tick(now)));
     }
-    assert!(observer.up.is_empty());
-    assert_eq!(observer.open.keys().copied().collect::<Vec<_>>(), [2]);
+    assert!(model.up.is_empty());
+    assert_eq!(model.open.keys().copied().collect::<Vec<_>>(), [2]);
     assert!(
-        observer.gone.is_empty(),
-        "silence does not end a run of the agent"
+        model.ended.is_empty(),
+        "silence does not end the incarnation"
     );
 }
 
-/// Guards against a request that is sent on a connection that went silent while it was idle,
-/// and waits longer than on one that was pinged all the time.
+/// A request sent on a connection that died while idle must not wait longer than on one that was
+/// monitored all the time.
 #[test]
 fn replaces_an_idle_connection_within_the_silence_limit_of_its_first_message() {
     let mut now = Instant::now();
     let times = LinkTimes::default();
     let mut links = Links::new(times);
-    let mut observer = Observer::default();
-    assert!(observer.observe(links.set(now, &name(0), address(0), 1)));
-    assert!(observer.observe(links.tick(now)));
-    assert!(observer.observe(links.welcomed(now, 1, &name(0), 1)));
+    let mut model = ConnectionModel::default();
+    assert!(model.record_and_check(links.set(now, &name(0), address(0), 1)));
+    assert!(model.record_and_check(links.tick(now)));
+    assert!(model.record_and_check(links.connection_established(now, 1, &name(0), 1)));
     for _ in 0..300 {
-        now += STEP;
-        links.watch(now, |_| false);
-        assert_eq!(links.tick(now), [], "nothing is sent while it is idle");
+        now += TIME_STEP;
+        links.set_monitored(now, |_| false);
+        assert_eq!(links.tick(now), [], "sends nothing while idle");
     }
-    links.sent(now, 1);
-    let sent = now;
-    while observer.up.contains_key(&name(0)) {
-        now += STEP;
-        links.watch(now, |_| true);
-        assert!(observer.observe(links.tick(now)));
-        assert!(now <= sent + times.silence_ms);
+    links.message_sent(now, 1);
+    let sent_at = now;
+    while model.up.contains_key(&name(0)) {
+        now += TIME_STEP;
+        links.set_monitored(now, |_| true);
+        assert!(model.record_and_check(links.tick(now)));
+        assert!(now <= sent_at + times.silence_ms);
     }
 }
 
-/// Guards against dead connections that are kept for good, and against pings for each probe
-/// that is lost.
+/// Guards against dead connections that are never detected, and against a ping for each lost
+/// probe.
 #[test]
-fn pings_an_idle_connection_rarely_and_after_unanswered_probes_until_heard() {
+fn pings_an_idle_connection_rarely_and_after_unanswered_probes_until_a_message_arrives() {
     let mut now = Instant::now();
     let times = LinkTimes::default();
     let mut links = Links::new(times);
     links.set(now, &name(0), address(0), 1);
     links.tick(now);
-    links.welcomed(now, 1, &name(0), 1);
+    links.connection_established(now, 1, &name(0), 1);
     now += times.idle_ms;
     let ping = |nonce| LinkAction::Send {
         link: 1,
         message: wire::ToAgent::Ping { nonce },
     };
     assert_eq!(links.tick(now), [ping(1)]);
-    links.heard(now, 1);
-    links.watch(now, |_| false);
+    links.message_received(now, 1);
+    links.set_monitored(now, |_| false);
     now += times.heartbeat_ms;
     assert_eq!(links.tick(now), []);
 
-    links.watch(now, |_| true);
+    links.set_monitored(now, |_| true);
     now += times.heartbeat_ms;
-    links.watch(now, |_| false);
-    assert_eq!(links.tick(now), [ping(2)], "not heard of since");
-    links.heard(now, 1);
-    links.watch(now, |_| false);
+    links.set_monitored(now, |_| false);
+    assert_eq!(links.tick(now), [ping(2)], "no message since");
+    links.message_received(now, 1);
+    links.set_monitored(now, |_| false);
     now += times.heartbeat_ms;
     assert_eq!(links.tick(now), []);
 }
 
-/// Guards against requests that wait for a run of the agent that has ended.
+/// Guards against requests that wait for an agent incarnation that has ended.
 #[test]
-fn tells_that_a_run_of_the_agent_has_ended() {
+fn reports_the_end_of_an_agent_incarnation() {
     let now = Instant::now();
     let mut links = Links::new(LinkTimes::default());
-    let mut observer = Observer::default();
-    assert!(observer.observe(links.set(now, &name(0), address(0), 1)));
-    assert!(observer.observe(links.tick(now)));
-    assert!(observer.observe(links.welcomed(now, 1, &name(0), 2)));
-    assert_eq!(observer.gone, [(name(0), 1)]);
-    assert!(observer.observe(links.set(now, &name(0), address(0), 3)));
-    assert_eq!(observer.gone, [(name(0), 1), (name(0), 2)]);
+    let mut model = ConnectionModel::default();
+    assert!(model.record_and_check(links.set(now, &name(0), address(0), 1)));
+    assert!(model.record_and_check(links.tick(now)));
+    assert!(model.record_and_check(links.connection_established(now, 1, &name(0), 2)));
+    assert_eq!(model.ended, [(name(0), 1)]);
+    assert!(model.record_and_check(links.set(now, &name(0), address(0), 3)));
+    assert_eq!(model.ended, [(name(0), 1), (name(0), 2)]);
 }
--- a/components/entry/tests/probes.rs
+++ b/components/entry/tests/probes.rs
@@ -1,10 +1,10 @@
-//! Probes and announcements.
+//! Schedule of probes and announcements.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use std::time::Instant;
 
-use entry::core::probes::Outgoing;
+use entry::core::probes::OutgoingDatagram;
 use entry::core::probes::Probes;
 use wire::Datagram;
 
@@ -15,7 +15,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn sequences(outgoing: &[Outgoing]) -> Vec<u64> {
+fn sequences(outgoing: &[OutgoingDatagram]) -> Vec<u64> {
     outgoing
         .iter()
         .filter_map(|out| match out.datagram {
@@ -25,9 +25,9 @@
         .collect()
 }
 
-/// Guards against replayed or delayed datagrams that make a dead target look alive.
+/// A replayed or delayed datagram must not make an unreachable target appear alive.
 #[test]
-fn counts_each_answer_once_and_only_of_recent_probes() {
+fn accepts_each_answer_once_and_only_of_recent_probes() {
     let target = "engine-0".to_owned();
     let mut now = Instant::now();
     let mut probes = Probes::new(now, ENTRY, INTERVAL, Vec::new());
@@ -38,43 +38,43 @@
         now += INTERVAL;
     }
     assert_eq!(sent.len(), 8);
-    assert!(!probes.answered(&target, sent[0]), "too old");
-    assert!(probes.answered(&target, sent[6]));
-    assert!(!probes.answered(&target, sent[6]), "replayed");
+    assert!(!probes.accept_answer(&target, sent[0]), "too old");
+    assert!(probes.accept_answer(&target, sent[6]));
+    assert!(!probes.accept_answer(&target, sent[6]), "replayed");
     assert!(
-        !probes.answered(&target, sent[5]),
+        !probes.accept_answer(&target, sent[5]),
         "older than one answered"
     );
-    assert!(!probes.answered(&target, sent[7] + 1), "never sent");
-    assert!(!probes.answered("engine-1", sent[7]), "another target");
-    assert!(probes.answered(&target, sent[7]));
+    assert!(!probes.accept_answer(&target, sent[7] + 1), "never sent");
+    assert!(!probes.accept_answer("engine-1", sent[7]), "another target");
+    assert!(probes.accept_answer(&target, sent[7]));
 }
 
-/// Guards against announcements that grow with the number of entries, and against entries that
-/// are never told.
+/// Guards against announcements whose size grows with the number of entries, and against entries
+/// that get none.
 #[test]
-fn announces_to_few_peers_at_once_and_to_all_in_turn() {
+fn announces_to_eight_peers_at_a_time_and_to_all_in_turn() {
     let mut now = Instant::now();
     let peers: Vec<SocketAddr> = (0..379).map(address).collect();
     let mut probes = Probes::new(now, u64::MAX, INTERVAL, peers.clone());
-    let mut told = std::collections::BTreeSet::new();
+    let mut announced_to = std::collections::BTreeSet::new();
     for _ in 0..48 {
         let outgoing = probes.tick(now, 1, std::iter::empty());
         assert_eq!(outgoing.len(), 8);
-        told.extend(outgoing.into_iter().map(|out| out.to));
+        announced_to.extend(outgoing.into_iter().map(|out| out.to));
         now += INTERVAL;
     }
-    assert_eq!(told.len(), peers.len());
+    assert_eq!(announced_to.len(), peers.len());
 }
 
-/// Guards against configuration that waits for the next poll at the other entries.
+/// Guards against other entries that apply new configuration only at their next poll.
 #[test]
 fn announces_a_new_head_at_once_and_an_old_one_at_the_interval() {
     let now = Instant::now();
     let mut probes = Probes::new(now, ENTRY, INTERVAL, vec![address(1), address(2)]);
-    let none = || std::iter::empty();
-    assert_eq!(probes.tick(now, 1, none()).len(), 2);
-    assert_eq!(probes.tick(now, 1, none()).len(), 0);
-    assert_eq!(probes.tick(now, 2, none()).len(), 2);
-    assert_eq!(probes.tick(now + INTERVAL, 2, none()).len(), 2);
+    let no_targets = || std::iter::empty();
+    assert_eq!(probes.tick(now, 1, no_targets()).len(), 2);
+    assert_eq!(probes.tick(now, 1, no_targets()).len(), 0);
+    assert_eq!(probes.tick(now, 2, no_targets()).len(), 2);
+    assert_eq!(probes.tick(now + INTERVAL, 2, no_targets()).len(), 2);
 }
