--- a/components/entry/src/core/event.rs
+++ b/components/entry/src/core/event.rs
@@ -38,7 +38,7 @@
     Consumed {
         /// Id from `EntryCore::new_request`.
         request: RequestId,
-        /// Number of bytes since the last event.
+        /// Number of bytes written.
         bytes: u64,
     },
     /// The caller disconnected before the end of the answer.
@@ -50,7 +50,7 @@
     LinkMessage {
         /// Id from `Action::OpenLink`.
         link: LinkId,
-        /// The message.
+        /// Decoded message of the agent.
         message: ToEntry,
     },
     /// A connection to an agent ended or could not be opened.
@@ -66,14 +66,14 @@
     TableDone {
         /// Number from `Action::Table`.
         operation: u64,
-        /// Reply or error.
+        /// An error also if the table did not answer in time.
         result: Result<TableReply, StoreError>,
     },
     /// A call to the object store returned.
     ObjectDone {
         /// Number from `Action::Object`.
         operation: u64,
-        /// Reply or error.
+        /// An error also if the store did not answer in time.
         result: Result<ObjectReply, StoreError>,
     },
     /// A read of the host list returned.
@@ -133,10 +133,10 @@
     Send {
         /// Id from `Action::OpenLink`.
         link: LinkId,
-        /// The message.
+        /// Sent in the order of the actions.
         message: ToAgent,
     },
-    /// Send a datagram.
+    /// Send a probe or an announcement over UDP.
     SendDatagram {
         /// Address of an agent or another entry.
         to: SocketAddr,
--- a/components/entry/src/core/keepalive.rs
+++ b/components/entry/src/core/keepalive.rs
@@ -23,8 +23,7 @@
         }
     }
 
-    /// Starts monitoring. The silence limit counts from now, or from the earlier start if the
-    /// connection is monitored already.
+    /// Starts monitoring, with the silence limit counted from now, unless it is on already.
     pub fn start_monitoring(&mut self, now: Instant, times: &LinkTimes) {
         if !self.is_monitored {
             self.is_monitored = true;
--- a/components/entry/src/core/links.rs
+++ b/components/entry/src/core/links.rs
@@ -82,19 +82,19 @@
     },
     /// The connection to a target is established.
     Up {
-        /// Name of the target.
+        /// Name in the target's row.
         target: TargetName,
         /// Incarnation of its agent.
         incarnation: Incarnation,
     },
     /// The established connection to a target was lost.
     Down {
-        /// Name of the target.
+        /// Name in the target's row.
         target: TargetName,
     },
     /// An incarnation of the agent of a target has ended.
-    IncarnationGone {
-        /// Name of the target.
+    IncarnationEnded {
+        /// Name in the target's row.
         target: TargetName,
         /// The ended incarnation.
         incarnation: Incarnation,
@@ -122,7 +122,7 @@
         incarnation: Incarnation,
     ) -> Option<LinkAction> {
         let old = self.incarnation.replace(incarnation)?;
-        (old != incarnation).then(|| LinkAction::IncarnationGone {
+        (old != incarnation).then(|| LinkAction::IncarnationEnded {
             target: target.clone(),
             incarnation: old,
         })
@@ -189,7 +189,7 @@
         };
         let mut actions = disconnect(&mut self.targets_by_link, target, &mut connection, now);
         if let Some(incarnation) = connection.incarnation {
-            actions.push(LinkAction::IncarnationGone {
+            actions.push(LinkAction::IncarnationEnded {
                 target: target.clone(),
                 incarnation,
             });
@@ -200,7 +200,7 @@
     /// Removes a target whose agent continues to run.
     pub fn release(&mut self, now: Instant, target: &TargetName) -> Vec<LinkAction> {
         let mut actions = self.remove(now, target);
-        actions.retain(|action| !matches!(action, LinkAction::IncarnationGone { .. }));
+        actions.retain(|action| !matches!(action, LinkAction::IncarnationEnded { .. }));
         actions
     }
 
--- a/components/entry/src/core/mod.rs
+++ b/components/entry/src/core/mod.rs
@@ -6,14 +6,14 @@
 
 mod configuration;
 pub mod event;
-pub mod hints;
+mod hints;
 mod history;
 mod keepalive;
 mod leases;
 pub mod links;
 pub mod note;
 pub mod options;
-pub mod pending_calls;
+mod pending_calls;
 mod planning;
 pub mod probes;
 mod report;
--- a/components/entry/src/core/note.rs
+++ b/components/entry/src/core/note.rs
@@ -35,21 +35,21 @@
     },
     /// A connection to the agent of a target was established.
     TargetUp {
-        /// Name of the target.
+        /// Name in the target's row.
         target: TargetName,
         /// Incarnation of its agent.
         incarnation: Incarnation,
     },
     /// The connection to the agent of a target was lost.
     TargetDown {
-        /// Name of the target.
+        /// Name in the target's row.
         target: TargetName,
         /// Error that ended the connection.
         detail: String,
     },
     /// An incarnation of an agent has ended, by a restart or the removal of its target.
-    AgentRunEnded {
-        /// Name of the target.
+    IncarnationEnded {
+        /// Name in the target's row.
         target: TargetName,
         /// The ended incarnation.
         incarnation: Incarnation,
@@ -77,7 +77,7 @@
     OrderPlanned {
         /// Service of the target.
         service: String,
-        /// Name of the target.
+        /// Name in the target's row.
         target: TargetName,
         /// Decision with its figures.
         reason: String,
@@ -129,7 +129,7 @@
             Self::ConfigurationRejected { .. } => "CS1102",
             Self::TargetUp { .. } => "CS1201",
             Self::TargetDown { .. } => "CS1202",
-            Self::AgentRunEnded { .. } => "CS1203",
+            Self::IncarnationEnded { .. } => "CS1203",
             Self::HostListFailed { .. } => "CS1204",
             Self::DatagramRefused { .. } => "CS1205",
             Self::PeerRefused { .. } => "CS1206",
--- a/components/entry/src/core/options.rs
+++ b/components/entry/src/core/options.rs
@@ -18,13 +18,14 @@
     pub follower: FollowerOptions,
     /// Heartbeat, timeout and back-off times of connections to agents.
     pub links: LinkTimes,
-    /// Minimum number of targets of a service that the entry uses.
+    /// Number of targets of a service in the regular share of the entry; more if the rules of
+    /// [`crate::core::share`] require them.
     pub share_targets: usize,
     /// Interval of probes to a target.
     pub probe_ms: Duration,
     /// Interval of reads of the host list.
     pub hosts_poll_ms: Duration,
-    /// Duration of a lease.
+    /// Time without renewal after which another entry may take a lease.
     pub lease_ms: Duration,
     /// Address on which other entries connect to this one.
     pub address: SocketAddr,
--- a/components/entry/src/core/pending_calls.rs
+++ b/components/entry/src/core/pending_calls.rs
@@ -11,7 +11,7 @@
     Follower,
     /// Requests, for claims and stored answers.
     Requests,
-    /// Lease of a service.
+    /// Lease of the planner of a service.
     Lease(ServiceName),
     /// Lease for the deletion of expired claims.
     SweepLease,
--- a/components/entry/src/core/planning.rs
+++ b/components/entry/src/core/planning.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// Whether a possible change was rejected; the other reasons mean that none was considered.
+/// Whether a possible change was rejected; the other reasons mean that none was due.
 fn is_rejected_change(reason: &Reason) -> bool {
     matches!(
         reason,
--- a/components/entry/src/core/share.rs
+++ b/components/entry/src/core/share.rs
@@ -103,7 +103,7 @@
         pool.is_dirty |= old.is_none_or(|old| old.is_withdrawn != is_withdrawn);
     }
 
-    /// Removes a target.
+    /// Removes a target whose row was deleted.
     pub fn remove(&mut self, name: &TargetName) {
         let service = self.services_by_target.remove(name);
         let Some(pool) = service.and_then(|service| self.pools.get_mut(&service)) else {
@@ -113,7 +113,7 @@
         pool.is_dirty = true;
     }
 
-    /// Whether a target is in the share.
+    /// Whether a target is in the share of its service, as of the last `recompute`.
     #[must_use]
     pub fn contains(&self, name: &TargetName) -> bool {
         let service = self.services_by_target.get(name);
--- a/components/entry/src/core/share_updates.rs
+++ b/components/entry/src/core/share_updates.rs
@@ -13,7 +13,6 @@
 use crate::core::Action;
 use crate::core::EntryCore;
 
-/// Interval of updates of the shares.
 const SHARE_UPDATE_INTERVAL_MS: Duration = Duration::from_secs(1);
 /// Time that a target outside the share stays connected to query it about a claim. It exceeds the
 /// 3 s that a request waits for the answer.
--- a/components/entry/src/core/traffic.rs
+++ b/components/entry/src/core/traffic.rs
@@ -206,11 +206,11 @@
                     let event = request::Event::ConnectionDown { target };
                     self.handle_request_event(now, event, actions);
                 }
-                LinkAction::IncarnationGone {
+                LinkAction::IncarnationEnded {
                     target,
                     incarnation,
                 } => {
-                    actions.push(Action::Note(Note::AgentRunEnded {
+                    actions.push(Action::Note(Note::IncarnationEnded {
                         target: target.clone(),
                         incarnation,
                     }));
--- a/components/entry/src/daemon/listeners.rs
+++ b/components/entry/src/daemon/listeners.rs
@@ -23,11 +23,11 @@
 use crate::daemon::peers;
 
 /// Delay after a failed receive, so that a persistent error does not use a whole CPU core.
-const RECEIVE_RETRY_DELAY_MS: Duration = Duration::from_millis(10);
+const RECEIVE_PAUSE_MS: Duration = Duration::from_millis(10);
 /// Larger than any valid datagram, so that a longer one is refused instead of truncated.
 const RECEIVE_BUFFER_BYTES: usize = 2048;
 
-/// Bound sockets.
+/// Bound sockets that are not served yet.
 pub struct Listeners {
     callers: TcpListener,
     operators: TcpListener,
@@ -48,9 +48,7 @@
 /// Request handlers of callers and operators.
 #[derive(Clone)]
 pub struct Ports {
-    /// Callers' port.
     pub callers: Rc<CallersPort>,
-    /// Operators' port.
     pub operators: Rc<OperatorsPort>,
 }
 
@@ -144,7 +142,7 @@
     let mut buffer = [0; RECEIVE_BUFFER_BYTES];
     loop {
         let Ok((bytes, from)) = socket.recv_from(&mut buffer).await else {
-            smol::Timer::after(RECEIVE_RETRY_DELAY_MS).await;
+            smol::Timer::after(RECEIVE_PAUSE_MS).await;
             continue;
         };
         let decoded = Datagram::decode(&buffer[..bytes], &daemon.keys.borrow());
@@ -152,7 +150,7 @@
             Ok(datagram) => {
                 if let Datagram::Head { head, .. } = datagram {
                     let now = daemon.clock.now();
-                    daemon.heads.borrow_mut().insert(from, (head, now));
+                    daemon.peer_heads.borrow_mut().insert(from, (head, now));
                 }
                 daemon.handle_event(Event::Datagram(datagram));
             }
--- a/components/entry/src/daemon/log.rs
+++ b/components/entry/src/daemon/log.rs
@@ -34,7 +34,7 @@
             warn!(logger, "target connection lost";
                 "code" => code, "target" => target, "detail" => detail);
         }
-        Note::AgentRunEnded {
+        Note::IncarnationEnded {
             target,
             incarnation,
         } => warn!(logger, "agent was replaced";
--- a/components/entry/src/daemon/mod.rs
+++ b/components/entry/src/daemon/mod.rs
@@ -71,7 +71,7 @@
 /// answer.
 const OBJECT_READ_TIMEOUT_MS: std::time::Duration = std::time::Duration::from_secs(5);
 /// Timeout of a call to the object store, enough for 1 MiB at 1 Mbit/s. Few calls run concurrently,
-/// so a store that sends data very slowly would block them.
+/// so a store that sends data very slowly must not occupy them indefinitely.
 const OBJECT_CALL_TIMEOUT_MS: std::time::Duration = std::time::Duration::from_secs(10);
 
 struct Connection {
@@ -94,7 +94,7 @@
     links: RefCell<HashMap<LinkId, Connection>>,
     replies: RefCell<HashMap<RequestId, Sender<Reply>>>,
     peers: RefCell<HashMap<Incarnation, Sender<ToPeer>>>,
-    heads: RefCell<HashMap<SocketAddr, (u64, Instant)>>,
+    peer_heads: RefCell<HashMap<SocketAddr, (u64, Instant)>>,
     datagrams: Sender<(SocketAddr, Vec<u8>)>,
     reschedule: Sender<()>,
     next_tick_at: Cell<Instant>,
@@ -220,7 +220,7 @@
             links: RefCell::default(),
             replies: RefCell::default(),
             peers: RefCell::default(),
-            heads: RefCell::default(),
+            peer_heads: RefCell::default(),
             datagrams,
             reschedule,
             next_tick_at: Cell::new(now),
--- a/components/entry/src/daemon/operator.rs
+++ b/components/entry/src/daemon/operator.rs
@@ -68,7 +68,7 @@
         let now = self.daemon.clock.now();
         let mut status = self.daemon.core.borrow().status(now);
         let settings = self.daemon.settings();
-        let heads = self.daemon.heads.borrow();
+        let heads = self.daemon.peer_heads.borrow();
         let entries: Vec<Value> = heads
             .iter()
             .map(|(address, (revision, received_at))| {
--- a/components/entry/src/daemon/peers.rs
+++ b/components/entry/src/daemon/peers.rs
@@ -23,13 +23,13 @@
 /// Timeout of an exchange; a snapshot of the whole fleet takes well under a second.
 const EXCHANGE_TIMEOUT_MS: Duration = Duration::from_secs(10);
 /// Delay after a failed accept, for example when no file descriptor is free.
-const ACCEPT_RETRY_DELAY_MS: Duration = Duration::from_millis(100);
+const ACCEPT_PAUSE_MS: Duration = Duration::from_millis(100);
 
 /// Accepts connections from other entries.
 pub async fn accept(daemon: Rc<Daemon>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            Timer::after(ACCEPT_RETRY_DELAY_MS).await;
+            Timer::after(ACCEPT_PAUSE_MS).await;
             continue;
         };
         let serving = daemon.clone();
--- a/components/entry/tests/probes.rs
+++ b/components/entry/tests/probes.rs
@@ -50,7 +50,7 @@
     assert!(probes.accept_answer(&target, sent[7]));
 }
 
-/// Guards against announcements whose size grows with the number of entries, and against entries
+/// Guards against announcements whose number grows with that of entries, and against entries
 /// that get none.
 #[test]
 fn announces_to_eight_peers_at_a_time_and_to_all_in_turn() {
--- a/components/entry/tests/retries.rs
+++ b/components/entry/tests/retries.rs
@@ -45,10 +45,11 @@
 const DEADLINE_MS: Duration = Duration::from_secs(8);
 /// Maximum requests per case; they need up to eight times `MIN_RETRIES` retries.
 const MAX_REQUESTS: usize = 80;
-/// Window in which all retries are in the 10 s window of the budget, whose counters are 0.5 s wide.
+/// Retries within this time are all counted in the budget's window of 10 s, whose counters are
+/// 0.5 s wide.
 const RETRIES_WINDOW_MS: Duration = Duration::from_millis(9_500);
 const REQUESTS_WINDOW_MS: Duration = Duration::from_secs(10);
-/// Retries allowed in that window for any number of requests (design.md, "Attempts").
+/// Retries allowed within that time for any number of requests (design.md, "Attempts").
 const MIN_RETRIES: usize = 20;
 
 /// Reaction of an agent to a dispatch. Most are rejected, so that the budget is soon exhausted.
--- a/components/entry/tests/share.rs
+++ b/components/entry/tests/share.rs
@@ -93,8 +93,8 @@
         let target = share(own, 10, 101);
         assert!(before.symmetric_difference(&target).count() <= 3);
         let entry = share(own, 11, 100);
-        // A new entry takes over 100 * 2 / 11 of the required uses of targets. Each of the ten
-        // other entries loses a tenth of these and may replace them.
+        // A new entry becomes one of the two required entries of 100 * 2 / 11 targets. Each of the
+        // ten other entries loses a tenth of these and may replace them.
         assert!(before.symmetric_difference(&entry).count() <= 10);
     }
 }
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -38,9 +38,9 @@
         let Some(pool) = self.pools_by_service.get(&need.service).copied() else {
             return Choice::Never;
         };
-        let mut best = self.best(now, need, pool, exclude);
+        let mut best = self.best_candidate(now, need, pool, exclude);
         if best.is_none() && !exclude.is_empty() {
-            best = self.best(now, need, pool, &[]);
+            best = self.best_candidate(now, need, pool, &[]);
         }
         let Some(best) = best else {
             return self.choice_without_candidate(now, need, pool);
@@ -123,11 +123,13 @@
 }
 
 impl Fleet {
-    /// Lowest rank among the best cache matches and a random sample of the open members.
+    /// Candidate of the lowest rank among the best cache matches and a random sample of the open
+    /// members.
     ///
-    /// Sampling continues up to `sample_limit` while no candidate is expected to meet the
-    /// deadline. If no sampled member has the required model, all open members are searched.
-    fn best(
+    /// At least `sample_count` members are sampled, and up to `sample_limit` while no candidate is
+    /// expected to meet the deadline. If no sampled member has the required model, all open members
+    /// are searched.
+    fn best_candidate(
         &mut self,
         now: Instant,
         need: &Need,
@@ -145,11 +147,11 @@
             if drawn >= self.settings.sample_count && is_in_time {
                 break;
             }
-            let open = self.pools[pool].open.len();
-            if drawn >= open {
+            let open_count = self.pools[pool].open.len();
+            if drawn >= open_count {
                 break;
             }
-            let open_position = self.rng.random_range(drawn..open);
+            let open_position = self.rng.random_range(drawn..open_count);
             let position = self.pools[pool].open[open_position];
             if self.members[position].standing(now, &self.settings) != Standing::Open {
                 self.remove_from_open_list(position);
@@ -202,8 +204,8 @@
         exclude: &[TargetName],
     ) -> Option<Ranked> {
         let member = &self.members[position];
-        let open = member.standing(now, &self.settings) == Standing::Open;
-        if !open
+        let is_open = member.standing(now, &self.settings) == Standing::Open;
+        if !is_open
             || self.is_full(position, need)
             || !member.is_compatible_with(&need.needs)
             || exclude.contains(&member.target.name)
--- a/components/routing/src/ejection.rs
+++ b/components/routing/src/ejection.rs
@@ -25,7 +25,8 @@
 }
 
 impl Ejection {
-    /// Records a success. The duration starts from the base again after a window without failures.
+    /// Records a success. The duration of ejections starts from the base again once the latest
+    /// outcomes contain no failure; `eject` clears them.
     pub fn succeeded(&mut self) {
         self.failure_bits = (self.failure_bits << 1) & ((1 << OUTCOME_WINDOW) - 1);
         self.consecutive_failures = 0;
--- a/components/routing/src/estimate.rs
+++ b/components/routing/src/estimate.rs
@@ -55,7 +55,7 @@
         let waiting_requests = (load.requests + 1.0 - slots).max(0.0);
         let backlog_ahead_tokens = load.prefill_tokens * job.backlog_share;
         let backlog_behind_tokens = load.prefill_tokens - backlog_ahead_tokens;
-        let shared_steps = (backlog_behind_tokens / chunk_tokens).min(job.decode_tokens);
+        let steps_with_prefill = (backlog_behind_tokens / chunk_tokens).min(job.decode_tokens);
         Self {
             slot_ms: waiting_requests / slots
                 * mean_decode_tokens
@@ -63,7 +63,7 @@
                 * job.backlog_share,
             backlog_ms: backlog_ahead_tokens * prefill_token_ms,
             prefill_ms: job.prefill_tokens * prefill_token_ms,
-            decode_ms: job.decode_tokens * decode_step_ms + shared_steps * chunk_ms,
+            decode_ms: job.decode_tokens * decode_step_ms + steps_with_prefill * chunk_ms,
             network_ms: 2.0 * one_way_ms.as_secs_f64() * 1e3,
         }
     }
--- a/components/routing/src/explain.rs
+++ b/components/routing/src/explain.rs
@@ -12,7 +12,7 @@
 /// Target of a service with the estimate used to rank it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Name of the target.
+    /// Name in the target's row.
     pub target: TargetName,
     /// Whether it accepts new work, and if not, why.
     pub standing: Standing,
--- a/components/routing/src/fleet.rs
+++ b/components/routing/src/fleet.rs
@@ -61,7 +61,7 @@
 /// State of a target as reported to the planner and to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetView {
-    /// Name of the target.
+    /// Name in the target's row.
     pub name: TargetName,
     /// Current role.
     pub role: Role,
--- a/components/routing/src/learn.rs
+++ b/components/routing/src/learn.rs
@@ -96,6 +96,7 @@
             .iter()
             .filter(|position| is_ejected(position))
             .count();
+        // At most half of the targets of a service may be ejected at once.
         if (count + 1) * 2 > self.pools[pool].members.len() || is_ejected(&position) {
             return;
         }
--- a/components/routing/src/member.rs
+++ b/components/routing/src/member.rs
@@ -1,4 +1,4 @@
-//! State of a target as known to this entry.
+//! State of a target as known to this entry, and whether it accepts work.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -36,7 +36,7 @@
     Ejected,
 }
 
-/// Known target.
+/// State of a target.
 #[derive(Debug)]
 pub(crate) struct Member {
     pub target: Target,
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -34,7 +34,7 @@
     pub netting: bool,
     /// Rank by estimated completion time; otherwise by the number of requests.
     pub estimate: bool,
-    /// Rank targets that have become open recently lower than others.
+    /// Penalise targets that became open recently.
     pub slow_start: bool,
     /// Eject targets after repeated failures.
     pub ejection: bool,
@@ -78,7 +78,7 @@
     pub sample_count: usize,
     /// Maximum number of sampled targets while those sampled are full or too slow.
     pub sample_limit: usize,
-    /// Delay before the next call of `choose` when no target can accept the request.
+    /// Delay before the next call of `choose` while every target is full or away.
     pub retry_ms: Duration,
     /// Weight of a request's engine time on a full target, added to its completion time as the
     /// delay of other requests. Values below 20 lose cache hits under overload, see
@@ -88,11 +88,11 @@
     pub piece_tokens: u32,
     /// Maximum number of pairs of prefix and target in the prefix-cache index.
     pub index_limit: usize,
-    /// Rates of the role `Prefill`.
+    /// Rates while the engine is tuned for prefill.
     pub prefill: RoleRates,
-    /// Rates of the role `Mixed`.
+    /// Rates while the engine is tuned for neither.
     pub mixed: RoleRates,
-    /// Rates of the role `Decode`.
+    /// Rates while the engine is tuned for decoding.
     pub decode: RoleRates,
     /// Enabled parts of the policy.
     pub mechanisms: Mechanisms,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Rates of a role.
+    /// Speed of an engine in a role.
     #[must_use]
     pub fn rates(&self, role: Role) -> &RoleRates {
         match role {
