--- a/components/planner/src/decision.rs
+++ b/components/planner/src/decision.rs
@@ -1,4 +1,4 @@
-//! A decision with its explanation.
+//! Result of a planning round, with the reason and the figures that it rests on.
 
 use std::fmt;
 
@@ -9,92 +9,95 @@
 use crate::fluid::Roles;
 use crate::mix::Demand;
 
-/// Why nothing is changed.
+/// Reason for keeping all roles.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "reason")]
 pub enum Reason {
-    /// Too little was measured since the start.
+    /// Demand was measured for less than the time constant of the fast estimate.
     TooEarly,
-    /// A target that takes work has not reported its load lately.
+    /// The load report of an open target is missing or too old.
     StaleLoad {
-        /// The target.
+        /// First such target.
         target: TargetName,
     },
-    /// The last change is not complete.
+    /// The previous role change is not complete.
     InProgress {
-        /// The target that changes.
+        /// Target that is changing its role.
         target: TargetName,
     },
-    /// A target is away, leaving or silent.
+    /// A target became unavailable recently and may return.
     Unsettled {
-        /// The target.
+        /// First such target.
         target: TargetName,
     },
-    /// No single change helps.
+    /// No single role change gains at least the configured minimum.
     NoGain,
-    /// Routing has not had the time to follow the shift.
+    /// The shift in demand is shorter than the time constant of the fast estimate, so routing has
+    /// not adapted to it yet.
     Patience,
-    /// The change takes the last target that serves a class.
+    /// The change would leave a class of requests without a target while it is under way.
     LastOfClass {
-        /// The target.
+        /// Target that would have changed.
         target: TargetName,
     },
-    /// The gain does not exceed the weighted loss.
+    /// The expected gain does not exceed the weighted cost.
     NotWorth,
-    /// The change would reverse a recent one and does not gain enough for that.
+    /// The change reverses a recent one, and its gain does not exceed the cost times the factor
+    /// for reversals.
     Reversal,
 }
 
-/// What to do.
+/// Outcome of a planning round.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "verdict")]
 pub enum Verdict {
     /// Order a target to change its role.
     Change {
-        /// The target.
+        /// Target to order.
         target: TargetName,
-        /// Role in force.
+        /// Current role.
         from: Role,
-        /// Role to take.
+        /// New role.
         to: Role,
     },
-    /// Change nothing.
+    /// Keep all roles.
     Keep(Reason),
 }
 
-/// Figures behind a decision.
+/// Inputs and intermediate results of a decision; zero where the round ended before the step.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Figures {
-    /// Fast estimate of the demand.
+    /// Demand of the whole service by the fast estimate.
     pub fast: Demand,
-    /// Slow estimate of the demand.
+    /// Demand of the whole service by the slow estimate.
     pub slow: Demand,
-    /// Engines that take work, by role.
+    /// Number of open targets by role.
     pub roles: Roles,
-    /// Capacity over demand now, by the fast estimate.
+    /// Ratio of capacity to demand with the current roles, by the fast estimate.
     pub capacity: f64,
-    /// Capacity over demand after the best change, by the fast estimate.
+    /// Ratio of capacity to demand after the best change, by the fast estimate.
     pub capacity_after: f64,
-    /// Engines' worth of work gained by the best change, by the fast estimate.
+    /// Capacity gained by the best change, in engines, by the fast estimate.
     pub gain_fast: f64,
-    /// The same by the slow estimate.
+    /// Capacity gained by the best change, in engines, by the slow estimate.
     pub gain_slow: f64,
-    /// Time that the shift has lasted.
+    /// Time since the shift in demand began.
     pub shift_s: f64,
-    /// Engine seconds that the change is expected to gain.
+    /// Expected gain of the change in engine seconds.
     pub gain_s: f64,
-    /// Engine seconds that it costs, times the weights.
+    /// Cost of the change in engine seconds, times the role change weight and the factor for
+    /// reversals.
     pub cost_s: f64,
 }
 
-/// A decision with its explanation.
+/// Outcome of a planning round and its figures.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Decision {
-    /// What to do.
+    /// Role change to order, or the reason for none.
     pub verdict: Verdict,
-    /// Figures behind it.
+    /// Figures that the verdict was derived from.
     pub figures: Figures,
-    /// The verdict is a change, or its reason differs from that of the decision before.
+    /// The verdict is a change, or its reason differs from that of the previous decision.
     pub is_news: bool,
 }
 
@@ -109,8 +112,8 @@
         let figures = &self.figures;
         write!(
             f,
-            ": capacity over demand {:.2}, after the best change {:.2}; the shift has lasted \
-             {:.0} s; expected gain {:.1} engine seconds, weighted cost {:.1}",
+            ": ratio of capacity to demand {:.2}, after the best change {:.2}; duration of the \
+             shift {:.0} s; expected gain {:.1} engine seconds, weighted cost {:.1} engine seconds",
             figures.capacity,
             figures.capacity_after,
             figures.shift_s,
--- a/components/planner/src/measure.rs
+++ b/components/planner/src/evaluation.rs
@@ -1,4 +1,4 @@
-//! The best single change of a role, and the shift that makes it useful.
+//! Evaluation of all single role changes, and detection of shifts in the demand.
 
 use std::time::Instant;
 
@@ -11,40 +11,44 @@
 use crate::mix::Demand;
 use crate::plan::Planner;
 
-/// A time in which changes in one direction look useful.
+/// Period in which role changes in one direction would gain capacity.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Shift {
+pub(crate) struct DemandShift {
     pub towards_prefill: bool,
     pub since: Instant,
-    pub seen: Instant,
+    /// When a useful change in this direction was last found.
+    pub last_seen: Instant,
 }
 
-/// The best single change.
+/// Role change of one engine with the largest gain.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Best {
+pub(crate) struct BestChange {
     pub from: Role,
     pub to: Role,
+    /// Capacity gained in engines, by the fast estimate.
     pub gain: f64,
+    /// Ratio of capacity to demand after the change, by the fast estimate.
     pub capacity: f64,
 }
 
 impl Planner {
-    /// Fills in the figures, follows the shift and finds the best change.
-    pub(crate) fn measure(
+    /// Finds the best role change, updates the current shift and fills in the figures. `None` if
+    /// no change gains at least `min_gain`.
+    pub(crate) fn evaluate(
         &mut self,
         now: Instant,
         open: &[&TargetView],
         figures: &mut Figures,
-    ) -> Option<Best> {
-        figures.fast = self.scaled(&self.mix.fast());
-        figures.slow = self.scaled(&self.mix.slow());
+    ) -> Option<BestChange> {
+        figures.fast = self.scaled_demand(&self.mix.fast());
+        figures.slow = self.scaled_demand(&self.mix.slow());
         for view in open {
             figures.roles.add(view.role);
         }
         let rates = &self.settings.rates;
         figures.capacity = figures.roles.capacity(&figures.fast, rates);
         let best = self.best_change(figures);
-        let Some(best) = best.filter(|best| best.gain >= self.settings.least_gain) else {
+        let Some(best) = best.filter(|best| best.gain >= self.settings.min_gain) else {
             self.shift = self.shift.filter(|shift| self.is_recent(now, shift));
             return None;
         };
@@ -53,10 +57,10 @@
             .shift
             .filter(|shift| shift.towards_prefill == towards_prefill && self.is_recent(now, shift));
         let since = shift.map_or(now, |shift| shift.since);
-        self.shift = Some(Shift {
+        self.shift = Some(DemandShift {
             towards_prefill,
             since,
-            seen: now,
+            last_seen: now,
         });
         figures.capacity_after = best.capacity;
         figures.gain_fast = best.gain;
@@ -67,30 +71,31 @@
         Some(best)
     }
 
-    /// Whether the shift was seen lately; the fast estimate is noisy, so it may miss it for a while.
-    fn is_recent(&self, now: Instant, shift: &Shift) -> bool {
-        now.saturating_duration_since(shift.seen) <= self.settings.grace_ms
+    /// Whether the shift still counts. The fast estimate is noisy, so a shift may be invisible for
+    /// up to `shift_timeout_ms`.
+    fn is_recent(&self, now: Instant, shift: &DemandShift) -> bool {
+        now.saturating_duration_since(shift.last_seen) <= self.settings.shift_timeout_ms
     }
 
-    fn best_change(&self, figures: &Figures) -> Option<Best> {
+    fn best_change(&self, figures: &Figures) -> Option<BestChange> {
         let rates = &self.settings.rates;
-        let mut best: Option<Best> = None;
+        let mut best: Option<BestChange> = None;
         let urgent = figures
             .roles
-            .urgent_share(&figures.fast.beside_urgent(), rates);
+            .urgent_share(&figures.fast.competing_with_urgent(), rates);
         for from in ROLES {
             for to in ROLES {
                 if from == to || figures.roles.0[Roles::position(from)] == 0 {
                     continue;
                 }
                 let after = figures.roles.with_change(from, to);
-                if after.urgent_share(&figures.fast.beside_urgent(), rates) < urgent {
+                if after.urgent_share(&figures.fast.competing_with_urgent(), rates) < urgent {
                     continue;
                 }
                 let capacity = after.capacity(&figures.fast, rates);
                 let gain = self.gain(figures.roles, figures.capacity, capacity);
                 if best.is_none_or(|best| gain > best.gain) {
-                    best = Some(Best {
+                    best = Some(BestChange {
                         from,
                         to,
                         gain,
@@ -102,14 +107,15 @@
         best
     }
 
-    /// Engines' worth of work gained. Capacity beyond the headroom is worth nothing.
+    /// Capacity gained, in engines. Capacity beyond the headroom does not count.
     fn gain(&self, roles: Roles, before: f64, after: f64) -> f64 {
         let headroom = self.settings.headroom;
         let share = (after.min(headroom) - before.min(headroom)) / headroom;
         f64::from(roles.total()) * share
     }
 
-    fn scaled(&self, demand: &Demand) -> Demand {
+    /// Demand of the whole service, extrapolated from the share that this process sees.
+    fn scaled_demand(&self, demand: &Demand) -> Demand {
         let mut scaled = *demand;
         for rate in [
             &mut scaled.prefill_class,
--- a/components/planner/src/lib.rs
+++ b/components/planner/src/lib.rs
@@ -1,13 +1,14 @@
-//! Decides when an engine changes its role.
+//! Plans role changes of inference engines.
 //!
-//! [`Planner`] is a state machine without I/O for one service. It is told what is dispatched and
-//! how it ends, and measures the mix as token-time with a fast and a slow estimate. Asked to
-//! consider the targets, it gives a [`Decision`] that explains itself, also when nothing is done.
-//! The holder of the service's lease writes the order; nothing here depends on who that is.
+//! [`Planner`] is a state machine without I/O for one service. It receives each dispatch and the
+//! end of each attempt, and estimates the demand in token-time with two exponentially decaying
+//! averages, a fast and a slow one. [`Planner::consider`] returns a [`Decision`] with the reason
+//! and the figures behind it, also when no role changes. The holder of the service's lease writes
+//! the order.
 
 pub mod decision;
+mod evaluation;
 pub mod fluid;
-mod measure;
 pub mod mix;
 pub mod plan;
 pub mod settings;
--- a/components/planner/src/mix.rs
+++ b/components/planner/src/mix.rs
@@ -1,8 +1,8 @@
-//! The mix of work as token-time, with a fast and a slow estimate.
+//! Estimates of the demand by class of request, with a fast and a slow time constant.
 //!
-//! A request stays on one engine, so its prefill and decode cannot be placed apart. Requests are
-//! therefore summed in two classes, those whose prefill takes longer than their decode and the
-//! others, and each class keeps both of its token rates.
+//! Prefill and decode of a request run on the same engine. Requests are therefore grouped into
+//! those whose prefill takes longer than their decode and the others, and both token rates are
+//! kept for each class.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,14 +12,14 @@
 /// Token rates of one class of requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, serde::Serialize)]
 pub struct Rate {
-    /// Prompt tokens per second that were not in a prefix cache.
+    /// Prompt tokens per second that the prefix cache did not hold.
     pub prefill: f64,
     /// Output tokens per second.
     pub decode: f64,
 }
 
-/// Least share of urgent work in the output of the decode class that is noticed.
-const URGENT_SHARE: f64 = 0.1;
+/// Share of urgent output in the decode class above which the whole class counts as urgent.
+const MIN_URGENT_SHARE: f64 = 0.1;
 
 /// Class of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,33 +28,34 @@
     Prefill,
     /// Decode takes longer.
     Decode,
-    /// The output would come too late at the pace of a busy prefill engine.
+    /// A fully loaded prefill engine would not finish the output before the caller gives up.
     Urgent,
 }
 
 /// Token rates by class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, serde::Serialize)]
 pub struct Demand {
-    /// Requests whose prefill takes longer.
+    /// Requests of class [`Class::Prefill`].
     pub prefill_class: Rate,
-    /// Requests whose decode takes longer, and urgent ones.
+    /// Requests of the classes [`Class::Decode`] and [`Class::Urgent`].
     pub decode_class: Rate,
-    /// Part of the decode class that is too urgent for a busy prefill engine.
+    /// Requests of class [`Class::Urgent`], which are also part of `decode_class`.
     pub urgent: Rate,
 }
 
 impl Demand {
-    /// Engine time per second in a role, for the prefill and the decode class.
+    /// Engine seconds per second that the prefill and the decode class need in a role.
     #[must_use]
     pub fn engine_time(&self, rates: &RoleRates) -> (f64, f64) {
         let (prefill, decode) = (&self.prefill_class, &self.decode_class);
         (prefill.engine_time(rates), decode.engine_time(rates))
     }
 
-    /// The decode class if urgent work is a part of it, because it shares engines and so delays it.
+    /// The decode class if it has a relevant share of urgent requests, otherwise zero. The other
+    /// requests of the class run on the same engines and delay the urgent ones.
     #[must_use]
-    pub fn beside_urgent(&self) -> Rate {
-        if self.urgent.decode > URGENT_SHARE * self.decode_class.decode {
+    pub fn competing_with_urgent(&self) -> Rate {
+        if self.urgent.decode > MIN_URGENT_SHARE * self.decode_class.decode {
             self.decode_class
         } else {
             Rate::default()
@@ -63,7 +64,7 @@
 }
 
 impl Rate {
-    /// Engine time per second in a role.
+    /// Engine seconds per second that these tokens need in a role.
     #[must_use]
     pub fn engine_time(&self, rates: &RoleRates) -> f64 {
         let (prefill_ms, decode_ms) = token_ms(rates);
@@ -71,7 +72,7 @@
     }
 }
 
-/// Engine time of a prompt token and of an output token on a busy engine.
+/// Engine time in ms of a prompt token and of an output token on a fully loaded engine.
 #[must_use]
 pub fn token_ms(rates: &RoleRates) -> (f64, f64) {
     (
@@ -80,32 +81,34 @@
     )
 }
 
-/// Decaying sums of one time constant.
+/// Token sums that decay exponentially with one time constant.
 #[derive(Debug, Clone)]
-struct Decaying {
-    constant_s: f64,
+struct DecayingSums {
+    time_constant_s: f64,
+    /// Prefill and decode tokens of the prefill class, the decode class and urgent requests.
     sums: [f64; 6],
     elapsed_s: f64,
 }
 
-impl Decaying {
+impl DecayingSums {
     fn new(constant: Duration) -> Self {
         Self {
-            constant_s: constant.as_secs_f64(),
+            time_constant_s: constant.as_secs_f64(),
             sums: [0.0; 6],
             elapsed_s: 0.0,
         }
     }
 
     fn decay(&mut self, seconds: f64) {
-        let factor = (-seconds / self.constant_s).exp();
+        let factor = (-seconds / self.time_constant_s).exp();
         self.sums.iter_mut().for_each(|sum| *sum *= factor);
         self.elapsed_s += seconds;
     }
 
     fn demand(&self) -> Demand {
-        // While less time has passed than the sum remembers, the missing part is not idle time.
-        let seconds = self.constant_s * (1.0 - (-self.elapsed_s / self.constant_s).exp());
+        // Weight of the elapsed time. It is below the time constant at first, so that the time
+        // before the first request does not count as idle.
+        let seconds = self.time_constant_s * (1.0 - (-self.elapsed_s / self.time_constant_s).exp());
         let rate = |at: usize| Rate {
             prefill: (self.sums[at] / seconds.max(0.1)).max(0.0),
             decode: (self.sums[at + 1] / seconds.max(0.1)).max(0.0),
@@ -122,24 +125,24 @@
 #[derive(Debug, Clone)]
 pub struct Mix {
     rates: RoleRates,
-    last: Option<Instant>,
-    fast: Decaying,
-    slow: Decaying,
+    last_update: Option<Instant>,
+    fast: DecayingSums,
+    slow: DecayingSums,
 }
 
 impl Mix {
-    /// Starts with nothing measured; `rates` are those that the classes are told apart with.
+    /// Creates empty estimates. `rates` are the engine rates that requests are classified with.
     #[must_use]
     pub fn new(rates: RoleRates, fast_ms: Duration, slow_ms: Duration) -> Self {
         Self {
             rates,
-            last: None,
-            fast: Decaying::new(fast_ms),
-            slow: Decaying::new(slow_ms),
+            last_update: None,
+            fast: DecayingSums::new(fast_ms),
+            slow: DecayingSums::new(slow_ms),
         }
     }
 
-    /// The class of a request by its token-time.
+    /// Class of a request by its token-time; never [`Class::Urgent`].
     #[must_use]
     pub fn class(&self, prefill_tokens: f64, decode_tokens: f64) -> Class {
         let (prefill_ms, decode_ms) = token_ms(&self.rates);
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Adds a request to a class; negative figures take back what was expected too much.
+    /// Adds tokens to a class. Negative numbers correct an earlier overestimate.
     pub fn add(&mut self, now: Instant, class: Class, prefill: f64, decode: f64) {
         self.advance(now);
         let positions: &[usize] = match class {
@@ -166,28 +169,28 @@
         }
     }
 
-    /// Lets time pass.
+    /// Decays the sums up to `now`.
     pub fn advance(&mut self, now: Instant) {
-        let last = *self.last.get_or_insert(now);
+        let last = *self.last_update.get_or_insert(now);
         let seconds = now.saturating_duration_since(last).as_secs_f64();
-        self.last = Some(last.max(now));
+        self.last_update = Some(last.max(now));
         self.fast.decay(seconds);
         self.slow.decay(seconds);
     }
 
-    /// Time since the first event.
+    /// Time since the first event, in seconds.
     #[must_use]
     pub fn measured_s(&self) -> f64 {
         self.fast.elapsed_s
     }
 
-    /// The fast estimate.
+    /// Current rates by the fast estimate.
     #[must_use]
     pub fn fast(&self) -> Demand {
         self.fast.demand()
     }
 
-    /// The slow estimate.
+    /// Current rates by the slow estimate.
     #[must_use]
     pub fn slow(&self) -> Demand {
         self.slow.demand()
--- a/components/planner/src/plan.rs
+++ b/components/planner/src/plan.rs
@@ -1,4 +1,4 @@
-//! The planner of one service.
+//! Planning rules for one service.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use crate::decision::Figures;
 use crate::decision::Reason;
 use crate::decision::Verdict;
+use crate::evaluation::BestChange;
+use crate::evaluation::DemandShift;
 use crate::fluid::Roles;
-use crate::measure::Best;
-use crate::measure::Shift;
 use crate::mix::Class;
 use crate::mix::Mix;
 use crate::settings::Settings;
@@ -25,30 +25,30 @@
 use crate::targets::is_last_of_class;
 use crate::targets::is_open;
 
-/// Share of the drain that counts as lost, since an engine still works while it drains.
-const DRAIN_LOSS: f64 = 0.5;
+/// Share of the drain time that counts as lost; the engine still serves requests while it drains.
+const DRAIN_LOSS_SHARE: f64 = 0.5;
 
-/// What an attempt in flight was counted as.
+/// Tokens that were added to the demand when an attempt was dispatched.
 #[derive(Debug, Clone, Copy)]
-struct Counted {
+struct CountedTokens {
     class: Class,
     prefill: f64,
     decode: f64,
 }
 
-/// What a request asks of an engine.
+/// Expected work of a request on an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Job {
-    /// Prompt tokens that are not expected in the prefix cache.
+    /// Prompt tokens that the prefix cache is not expected to hold.
     pub prefill_tokens: f64,
-    /// Output tokens expected.
+    /// Expected output tokens.
     pub decode_tokens: f64,
-    /// Time for which its caller is expected to wait.
+    /// Time after which the caller is expected to give up.
     pub within_ms: Duration,
 }
 
 impl Job {
-    /// A request of a size known to routing.
+    /// Takes the token counts from the size that routing estimated.
     #[must_use]
     pub fn new(size: Size, within_ms: Duration) -> Self {
         Self {
@@ -59,74 +59,74 @@
     }
 }
 
-/// How an attempt ended, as far as it concerns the demand.
+/// How an attempt ended, which decides how its tokens count in the demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// Its usage replaces what was expected of it.
+    /// The reported usage replaces the expected tokens; without usage they stay.
     Answered(Usage),
-    /// Another attempt takes its place.
+    /// Another attempt replaces this one, so its tokens are subtracted.
     TriedAgain,
-    /// It was demanded and did not get its whole answer.
+    /// The request was not answered completely; its expected tokens stay in the demand.
     Unserved,
 }
 
-/// A change that was ordered.
+/// A role change that was ordered.
 #[derive(Debug, Clone)]
-struct Ordered {
+struct OrderedChange {
     target: TargetName,
     from: Role,
     to: Role,
-    at: Instant,
+    ordered_at: Instant,
 }
 
-/// Planner of one service.
+/// State machine that plans the role changes of one service.
 #[derive(Debug)]
 pub struct Planner {
     pub(crate) settings: Settings,
     pub(crate) mix: Mix,
-    counted: HashMap<AttemptId, Counted>,
+    in_flight: HashMap<AttemptId, CountedTokens>,
     availability: Availability,
-    pending: Option<Ordered>,
-    last: Option<Ordered>,
-    pub(crate) shift: Option<Shift>,
-    reason: Option<Reason>,
+    pending: Option<OrderedChange>,
+    last_change: Option<OrderedChange>,
+    pub(crate) shift: Option<DemandShift>,
+    last_reason: Option<Reason>,
 }
 
 impl Planner {
-    /// A planner that has measured nothing yet.
+    /// Creates a planner without measurements.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
             mix: Mix::new(settings.rates[1], settings.fast_ms, settings.slow_ms),
             settings,
-            counted: HashMap::new(),
+            in_flight: HashMap::new(),
             availability: Availability::default(),
             pending: None,
-            last: None,
+            last_change: None,
             shift: None,
-            reason: None,
+            last_reason: None,
         }
     }
 
-    /// An attempt was dispatched.
+    /// Adds the expected tokens of a dispatched attempt to the demand.
     pub fn dispatched(&mut self, now: Instant, attempt: AttemptId, job: &Job) {
         let (prefill, decode) = (job.prefill_tokens, job.decode_tokens);
-        let counted = Counted {
+        let counted = CountedTokens {
             class: self.class(job),
             prefill,
             decode,
         };
         self.mix.add(now, counted.class, prefill, decode);
-        self.counted.insert(attempt, counted);
+        self.in_flight.insert(attempt, counted);
     }
 
-    /// An attempt ended.
+    /// Corrects the demand at the end of an attempt.
     pub fn settled(&mut self, now: Instant, attempt: AttemptId, ended: Ended) {
-        let Some(counted) = self.counted.remove(&attempt) else {
+        let Some(counted) = self.in_flight.remove(&attempt) else {
             return;
         };
         let (prefill, decode) = match ended {
-            // What was expected stands for what is not known.
+            // Without usage the expected tokens remain the best estimate.
             Ended::Answered(usage) if !usage.is_known() => return,
             Ended::Answered(usage) => {
                 let prefill = usage.prompt_tokens.saturating_sub(usage.cached_tokens);
@@ -144,16 +144,16 @@
         );
     }
 
-    /// A request was refused for lack of capacity. It is part of the demand; without it, a service
-    /// in the wrong roles would look as if it had capacity to spare.
+    /// Adds a request that was refused for lack of capacity to the demand. Without refused
+    /// requests, a service with the wrong roles would appear to have spare capacity.
     pub fn refused(&mut self, now: Instant, job: &Job) {
         let class = self.class(job);
         self.mix
             .add(now, class, job.prefill_tokens, job.decode_tokens);
     }
 
-    /// The class of a request. One whose output would come too late at the pace of a full prefill
-    /// engine is urgent, however long its prompt takes.
+    /// Class of a request. It is urgent, whatever its prefill time, if a fully loaded prefill
+    /// engine would not finish the output before the caller gives up.
     fn class(&self, job: &Job) -> Class {
         let rates = &self.settings.rates[Roles::position(Role::Prefill)];
         let step_ms = rates.step_ms
@@ -165,22 +165,23 @@
         self.mix.class(job.prefill_tokens, job.decode_tokens)
     }
 
-    /// The order of the last change could not be written.
+    /// Stops waiting for the last change, because its order could not be written.
     pub fn order_failed(&mut self) {
         self.pending = None;
     }
 
-    /// Sets the share of the service's requests that this process sees.
+    /// Sets the share of the service's requests that this process sees; clamped to 0.001..=1.
     pub fn set_traffic_share(&mut self, share: f64) {
         self.settings.traffic_share = share.clamp(0.001, 1.0);
     }
 
-    /// Decides on the targets of the service. After a change, the caller writes the order or
-    /// calls [`Planner::order_failed`].
+    /// Decides whether a target of the service changes its role. After [`Verdict::Change`] the user
+    /// of the planner writes the order or calls [`Planner::order_failed`]. `weight` multiplies the
+    /// cost of a change.
     pub fn consider(&mut self, now: Instant, targets: &[TargetView], weight: f64) -> Decision {
         self.mix.advance(now);
-        self.availability.note(now, targets);
-        self.note_progress(now, targets);
+        self.availability.update(now, targets);
+        self.update_pending(now, targets);
         let mut figures = Figures::default();
         let verdict = match self.decide(now, targets, weight, &mut figures) {
             Ok(verdict) => verdict,
@@ -190,13 +191,13 @@
             Verdict::Change {
                 target, from, to, ..
             } => {
-                self.order(now, target, *from, *to);
+                self.record_change(now, target, *from, *to);
                 None
             }
             Verdict::Keep(reason) => Some(reason.clone()),
         };
-        let is_news = reason.is_none() || self.reason != reason;
-        self.reason = reason;
+        let is_news = reason.is_none() || self.last_reason != reason;
+        self.last_reason = reason;
         Decision {
             verdict,
             figures,
@@ -220,16 +221,16 @@
                 target: ordered.target.clone(),
             });
         }
-        let best = self.measure(now, &open, figures);
-        if let Some(target) = self
-            .availability
-            .unsettled(now, targets, self.settings.gone_ms)
+        let best = self.evaluate(now, &open, figures);
+        if let Some(target) =
+            self.availability
+                .unsettled(now, targets, self.settings.unavailable_limit_ms)
         {
             return Err(Reason::Unsettled { target });
         }
         let is_stale = |view: &&&TargetView| {
             view.report_age_ms
-                .is_none_or(|age| age > self.settings.fresh_ms)
+                .is_none_or(|age| age > self.settings.max_report_age_ms)
         };
         if let Some(stale) = open.iter().find(is_stale) {
             return Err(Reason::StaleLoad {
@@ -237,13 +238,13 @@
             });
         }
         let best = best.ok_or(Reason::NoGain)?;
-        let target = self.pick(&open, best.from).ok_or(Reason::NoGain)?;
+        let target = self.select_target(&open, best.from).ok_or(Reason::NoGain)?;
         if is_last_of_class(&open, target) {
             return Err(Reason::LastOfClass {
                 target: target.name.clone(),
             });
         }
-        self.weigh(now, target, &best, weight, figures)?;
+        self.check_gain(now, target, &best, weight, figures)?;
         Ok(Verdict::Change {
             target: target.name.clone(),
             from: best.from,
@@ -251,41 +252,42 @@
         })
     }
 
-    /// Weighs the gain against the seconds lost.
-    fn weigh(
+    /// Checks that the expected gain exceeds the weighted cost.
+    fn check_gain(
         &self,
         now: Instant,
         target: &TargetView,
-        best: &Best,
+        best: &BestChange,
         weight: f64,
         figures: &mut Figures,
     ) -> Result<(), Reason> {
         let mechanisms = self.settings.mechanisms;
         let fast_s = self.settings.fast_ms.as_secs_f64();
-        // A shift is expected to last as long again as it has lasted; after that the slow
-        // estimate is the better guess.
-        let later_s = if mechanisms.slow_estimate {
+        // A shift is expected to last as long again as it has lasted. The slow estimate predicts
+        // the time after that.
+        let slow_s = if mechanisms.slow_estimate {
             self.settings.slow_ms.as_secs_f64()
         } else {
             0.0
         };
         let away_s = self.settings.away_ms.as_secs_f64();
-        let lost_s = away_s + DRAIN_LOSS * self.drain_s(target);
-        let reversal = self.reverses(now, best);
-        let factor = if reversal {
+        let lost_s = away_s + DRAIN_LOSS_SHARE * self.drain_s(target);
+        let is_reversal = self.reverses(now, best);
+        let factor = if is_reversal {
             self.settings.reversal_factor
         } else {
             1.0
         };
         figures.cost_s = lost_s * weight * factor;
-        // If the old mix comes back, the change can be reversed for what it cost.
-        let later = (figures.gain_slow * later_s).max(-lost_s * weight);
-        figures.gain_s = best.gain * figures.shift_s + later;
+        // If the earlier demand returns, the change can be reversed, so the loss is limited to the
+        // cost of a change.
+        let slow_gain_s = (figures.gain_slow * slow_s).max(-lost_s * weight);
+        figures.gain_s = best.gain * figures.shift_s + slow_gain_s;
         if mechanisms.patience && figures.shift_s < fast_s {
             return Err(Reason::Patience);
         }
         if mechanisms.cost && figures.gain_s <= figures.cost_s {
-            return Err(if reversal {
+            return Err(if is_reversal {
                 Reason::Reversal
             } else {
                 Reason::NotWorth
@@ -294,7 +296,7 @@
         Ok(())
     }
 
-    /// Time until the engine has finished what it has.
+    /// Time in seconds until the engine has finished the requests that it has.
     fn drain_s(&self, target: &TargetView) -> f64 {
         let rates = &self.settings.rates[Roles::position(target.role)];
         let streams = target.requests.max(1.0).min(f64::from(rates.slots));
@@ -303,18 +305,20 @@
         (target.decode_tokens / streams * step_ms + prefill_ms) / 1e3
     }
 
-    fn reverses(&self, now: Instant, best: &Best) -> bool {
-        let Some(last) = &self.last else {
+    /// Whether the change would reverse the last one within the reversal window.
+    fn reverses(&self, now: Instant, best: &BestChange) -> bool {
+        let Some(last) = &self.last_change else {
             return false;
         };
-        let recent = now.saturating_duration_since(last.at) < self.settings.reversal_ms;
+        let is_recent =
+            now.saturating_duration_since(last.ordered_at) < self.settings.reversal_window_ms;
         let direction = |from, to| Roles::position(to) < Roles::position(from);
-        let opposite = direction(last.from, last.to) != direction(best.from, best.to);
-        self.settings.mechanisms.hysteresis && recent && opposite
+        let is_opposite = direction(last.from, last.to) != direction(best.from, best.to);
+        self.settings.mechanisms.hysteresis && is_recent && is_opposite
     }
 
-    /// The target of a role that is drained soonest; the name decides between equals.
-    fn pick<'a>(&self, open: &[&'a TargetView], role: Role) -> Option<&'a TargetView> {
+    /// Target in a role with the shortest drain time; ties are broken by name.
+    fn select_target<'a>(&self, open: &[&'a TargetView], role: Role) -> Option<&'a TargetView> {
         let in_role = open.iter().copied().filter(|view| view.role == role);
         in_role.min_by(|a, b| {
             let order = self.drain_s(a).total_cmp(&self.drain_s(b));
@@ -322,27 +326,29 @@
         })
     }
 
-    fn note_progress(&mut self, now: Instant, targets: &[TargetView]) {
+    /// Stops waiting for the pending change once it is done, timed out, or its target is removed.
+    fn update_pending(&mut self, now: Instant, targets: &[TargetView]) {
         let Some(ordered) = &self.pending else {
             return;
         };
         let is_done = |view: &TargetView| view.name == ordered.target && view.role == ordered.to;
-        let done = targets.iter().any(|view| is_done(view) && is_open(view));
-        let gone = !targets.iter().any(|view| view.name == ordered.target);
-        let late = now.saturating_duration_since(ordered.at) > self.settings.order_ms;
-        if done || gone || late {
+        let has_ended = targets.iter().any(|view| is_done(view) && is_open(view));
+        let is_removed = !targets.iter().any(|view| view.name == ordered.target);
+        let is_timed_out =
+            now.saturating_duration_since(ordered.ordered_at) > self.settings.order_timeout_ms;
+        if has_ended || is_removed || is_timed_out {
             self.pending = None;
         }
     }
 
-    fn order(&mut self, now: Instant, target: &TargetName, from: Role, to: Role) {
-        let ordered = Ordered {
+    fn record_change(&mut self, now: Instant, target: &TargetName, from: Role, to: Role) {
+        let ordered = OrderedChange {
             target: target.clone(),
             from,
             to,
-            at: now,
+            ordered_at: now,
         };
-        self.last = Some(ordered.clone());
+        self.last_change = Some(ordered.clone());
         self.pending = Some(ordered);
     }
 }
--- a/components/planner/src/targets.rs
+++ b/components/planner/src/targets.rs
@@ -1,4 +1,4 @@
-//! What planning has to know of single targets.
+//! Availability of targets, and the classes that they serve.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,38 +9,38 @@
 use types::Role;
 use types::TargetName;
 
-/// Since when targets have been unavailable.
+/// Start of the current unavailability of each target.
 #[derive(Debug, Default)]
 pub(crate) struct Availability {
-    since: BTreeMap<TargetName, Instant>,
+    unavailable_since: BTreeMap<TargetName, Instant>,
 }
 
 impl Availability {
-    /// Follows the targets of the service.
-    pub fn note(&mut self, now: Instant, targets: &[TargetView]) {
-        self.since
+    /// Records which targets of the service are unavailable at `now`.
+    pub fn update(&mut self, now: Instant, targets: &[TargetView]) {
+        self.unavailable_since
             .retain(|name, _| targets.iter().any(|view| view.name == *name));
         for view in targets {
             if is_open(view) {
-                self.since.remove(&view.name);
-            } else if !self.since.contains_key(&view.name) {
-                self.since.insert(view.name.clone(), now);
+                self.unavailable_since.remove(&view.name);
+            } else if !self.unavailable_since.contains_key(&view.name) {
+                self.unavailable_since.insert(view.name.clone(), now);
             }
         }
     }
 
-    /// A target whose absence is recent and may end soon. One that was taken out of service by
-    /// configuration is not waited for.
+    /// First target that became unavailable less than `limit_ms` ago and may return.
+    /// Targets taken out of service by configuration are ignored.
     pub fn unsettled(
         &self,
         now: Instant,
         targets: &[TargetView],
-        gone_ms: Duration,
+        limit_ms: Duration,
     ) -> Option<TargetName> {
         let is_recent = |view: &&TargetView| {
-            let since = self.since.get(&view.name);
+            let since = self.unavailable_since.get(&view.name);
             view.standing != Standing::NotActive
-                && since.is_some_and(|since| now.saturating_duration_since(*since) < gone_ms)
+                && since.is_some_and(|since| now.saturating_duration_since(*since) < limit_ms)
         };
         targets.iter().find(is_recent).map(|view| view.name.clone())
     }
@@ -51,8 +51,8 @@
     view.standing == Standing::Open
 }
 
-/// Whether a class has no other target that is tuned for it. A change to another role for the same
-/// class counts too, because the target is away until it is done.
+/// Whether `target` is the only open target for a class of requests. A change to another role that
+/// serves the same class counts too, because the target is away during the change.
 pub(crate) fn is_last_of_class(open: &[&TargetView], target: &TargetView) -> bool {
     let serves = |role: Role, class: Role| role == class || role == Role::Mixed;
     [Role::Prefill, Role::Decode].into_iter().any(|class| {
