--- a/components/control/src/audit.rs
+++ b/components/control/src/audit.rs
@@ -1,4 +1,4 @@
-//! Reader of the audit trail, which is the change log.
+//! Reads the audit trail, which is the change log.
 
 use store::StoreError;
 use store::Table;
@@ -12,15 +12,15 @@
 use crate::rows::RowError;
 use crate::rows::decode;
 
-/// Records read with one call.
+/// Most log records read with one table call.
 const READ_ROWS: u64 = 100;
 
-/// Reads records of the log, newest first: at most `limit` with a revision below `before`, or
-/// from the latest one.
+/// Reads log records, newest first: at most `limit`, with revisions below `before`, or from the
+/// latest revision without `before`.
 ///
 /// # Errors
 ///
-/// Those of the table; `Malformed` for a record that this version does not understand.
+/// Errors of the table; `Malformed` for a record that this version cannot decode.
 pub async fn audit(
     table: &dyn Table,
     before: Option<Revision>,
--- a/components/control/src/command.rs
+++ b/components/control/src/command.rs
@@ -1,4 +1,4 @@
-//! Operators' commands, as they travel from the command line to an entry.
+//! Operators' commands, as sent from the command line to an entry.
 
 use std::fmt;
 
@@ -12,49 +12,50 @@
 use types::Service;
 use types::TargetName;
 
-/// What an operator wants changed.
+/// Change that an operator asks for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "command")]
 pub enum Command {
     /// Create a profile; fails if it exists.
     CreateProfile {
-        /// Whole profile.
+        /// Complete profile.
         profile: Profile,
     },
     /// Replace a profile; fails if it does not exist.
     ChangeProfile {
-        /// Whole new value.
+        /// Complete new value.
         profile: Profile,
     },
     /// Retire a profile that no service uses.
     RetireProfile {
-        /// Its name.
+        /// Name of the profile.
         name: ProfileName,
     },
-    /// Create a service, or let it pick another profile.
+    /// Create a service, or assign another profile to it.
     SetService {
-        /// Whole new value.
+        /// Complete new value.
         service: Service,
     },
     /// Give an order to a target.
     OrderTarget {
-        /// Target concerned.
+        /// Target to order.
         target: TargetName,
-        /// What it has to do.
+        /// Kind of the order with its parameters.
         order: OrderKind,
     },
 }
 
-/// A command with its conditions.
+/// A command with its preconditions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommandRequest {
-    /// What to change.
+    /// Change to make.
     pub command: Command,
-    /// Why, for the audit trail.
+    /// Reason, recorded in the audit trail.
     pub reason: String,
-    /// Revision of the item that the operator saw; the command fails if it has changed since.
+    /// Expected revision of the item; the command fails if the item has another one. Absent: no
+    /// check.
     pub if_revision: Option<Revision>,
-    /// Check everything and write nothing.
+    /// Plan and check the change without writing it.
     pub dry_run: bool,
 }
 
@@ -63,65 +64,66 @@
 pub struct CommandOutcome {
     /// The change; with `dry_run`, the one that would have been made.
     pub change: Change,
-    /// Nothing was written.
+    /// The change was only checked, not written.
     pub dry_run: bool,
 }
 
-/// A command that failed; nothing was changed, except possibly after `Unanswered`.
+/// Reason for a failed command. Nothing was changed, except possibly after `Unanswered`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "error")]
 pub enum CommandError {
-    /// Another change came first.
+    /// The item was changed by someone else.
     Conflict {
-        /// Item concerned, for example `profile/radio-desk`.
+        /// Row key of the item, for example `profile/radio-desk`.
         item: String,
-        /// Revision of the item now.
+        /// Current revision of the item.
         revision: Revision,
-        /// Who made that change, as far as the log tells.
+        /// Author of that change, if its log record was read.
         by: String,
-        /// Fields in which the item now differs from the command, for people.
+        /// Fields in which the current item differs from the command, as text for the operator.
         #[serde(default)]
         difference: String,
     },
     /// The item does not exist.
     NotFound {
-        /// Item concerned.
+        /// Row key of the item.
         item: String,
     },
     /// The item exists already.
     Exists {
-        /// Item concerned.
+        /// Row key of the item.
         item: String,
     },
     /// The item is in use.
     InUse {
-        /// Item concerned.
+        /// Row key of the item.
         item: String,
-        /// What uses it.
+        /// Row key of the item that uses it.
         by: String,
     },
-    /// A field is out of range.
+    /// A field has an invalid value.
     Invalid {
-        /// Field at fault.
+        /// Name of the field.
         field: String,
-        /// What to do.
+        /// Values that are allowed, or how to correct the command.
         fix: String,
     },
-    /// The order contradicts the target's state or an order that is still outstanding.
+    /// The command is not possible in the present state, for example because an order is still
+    /// outstanding.
     Refused {
-        /// Item concerned.
+        /// Row key of the item.
         item: String,
-        /// Why, and what to do.
+        /// Reason and how to proceed.
         fix: String,
     },
-    /// The table does not answer; nothing was written.
+    /// The table is unavailable; nothing was written.
     Unavailable {
-        /// For the operator.
+        /// Error of the table, or the limit that was reached.
         detail: String,
     },
-    /// The table's answer is lost; look at the audit trail for the token.
+    /// No reply to the commit arrived; the audit trail shows whether it was written.
     Unanswered {
-        /// Token of the write.
+        /// Token of the change, to be looked up in the audit trail.
         token: String,
     },
 }
@@ -136,24 +138,24 @@
                 difference,
             } => write!(
                 f,
-                "{item} was changed by {by} at revision {revision} ({difference}); look at it \
-                 again and repeat the command with --if-revision {revision}"
+                "{item} was changed by {by} at revision {revision} ({difference}); review the \
+                 change and repeat the command with --if-revision {revision}"
             ),
             Self::NotFound { item } => write!(f, "{item} does not exist"),
-            Self::Exists { item } => write!(f, "{item} exists already; change it instead"),
+            Self::Exists { item } => write!(f, "{item} already exists; change it instead"),
             Self::InUse { item, by } => write!(f, "{item} is in use by {by}"),
             Self::Invalid { field, fix } => write!(f, "field `{field}`: {fix}"),
             Self::Refused { item, fix } => write!(f, "{item}: {fix}"),
             Self::Unavailable { detail } => {
                 write!(
                     f,
-                    "the table does not answer ({detail}); nothing was changed"
+                    "the table is unavailable ({detail}); nothing was changed"
                 )
             }
             Self::Unanswered { token } => write!(
                 f,
-                "the table's answer is lost; `chervilspool audit` shows whether token {token} \
-                 was written"
+                "no reply to the commit from the table; `chervilspool audit` shows whether token \
+                 {token} was written"
             ),
         }
     }
--- a/components/control/src/conflict.rs
+++ b/components/control/src/conflict.rs
@@ -1,15 +1,15 @@
-//! Explanations of lost races.
+//! Errors for changes that conflict with an earlier one.
 
 use serde_json::Value;
 
 use crate::command::CommandError;
 use crate::rows::RowSet;
 
-/// Most fields that a difference lists.
-const MAX_FIELDS: usize = 8;
+/// Most fields listed in the difference of a conflict.
+const MAX_DIFFERENCE_FIELDS: usize = 8;
 
-/// Explains that `item` is no longer as the author of a change saw it.
-pub(crate) fn describe(rows: &RowSet, item: &str, wanted: &Value) -> CommandError {
+/// Error for a change of `item` whose author has read an earlier version of it.
+pub(crate) fn conflict_error(rows: &RowSet, item: &str, wanted: &Value) -> CommandError {
     if rows.version(item) == 0 {
         return CommandError::NotFound {
             item: item.to_owned(),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Fields in which the item differs from the command.
+/// Lists the fields in which the item differs from the command.
 fn difference(now: &Value, wanted: &Value) -> String {
     let (Value::Object(now_fields), Value::Object(wanted_fields)) = (now, wanted) else {
         return String::new();
@@ -45,7 +45,7 @@
     let different: Vec<String> = names
         .into_iter()
         .filter(|name| now_fields.get(*name) != wanted_fields.get(*name))
-        .take(MAX_FIELDS)
+        .take(MAX_DIFFERENCE_FIELDS)
         .map(|name| {
             let (now, wanted) = (field(now_fields, name), field(wanted_fields, name));
             format!("{name} is {now}, the command has {wanted}")
--- a/components/control/src/execute.rs
+++ b/components/control/src/execute.rs
@@ -1,4 +1,4 @@
-//! Drives plans to their end: reads rows, commits, and plans again after unrelated changes.
+//! Carries out changes: reads rows, plans and commits, and plans again after unrelated changes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -29,18 +29,18 @@
 use crate::rows::RowSet;
 use crate::rows::RowsNeeded;
 
-/// Rows that one scan returns.
+/// Most rows that one scan returns.
 const SCAN_ROWS: usize = 500;
-/// Plans made before the author is told to try again later. Every change of configuration
-/// anywhere moves `head`, so a busy log makes several plans fail in a row.
-const PLAN_LIMIT: u32 = 64;
-/// Bound of the pause after a first lost race for `head`; a transaction takes a few ms.
-const PAUSE_FIRST_MS: Duration = Duration::from_millis(5);
-/// Largest bound of a pause between plans. 400 agents that registered at once through a table
-/// with 3 ms of delay made 3,239 tries with this bound and 3,768 with 200 ms.
-const PAUSE_LAST_MS: Duration = Duration::from_secs(1);
+/// Plans tried before the change fails as unavailable. Every change of the configuration updates
+/// `head`, so several plans in a row fail while many changes are made.
+const MAX_PLANS: u32 = 64;
+/// Upper bound of the delay after the first conflict on `head`; a transaction takes a few ms.
+const BACKOFF_FIRST_MS: Duration = Duration::from_millis(5);
+/// Largest upper bound of the delay between plans. A bound of 200 ms caused 16 % more plans when
+/// 400 agents registered at once.
+const BACKOFF_MAX_MS: Duration = Duration::from_secs(1);
 
-/// Clock, delays and randomness of the driver.
+/// Plans and commits changes on one table.
 pub struct Executor {
     table: Rc<dyn Table>,
     clock: Rc<dyn Clock>,
@@ -51,15 +51,15 @@
 /// Author of a change and the reason for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Author<'a> {
-    /// Operator, planner or agent.
+    /// Name of the operator, planner or agent.
     pub by: &'a str,
-    /// Why, for people.
+    /// Reason, recorded in the audit trail.
     pub reason: &'a str,
 }
 
 impl Executor {
-    /// Works on `table`, which should be guarded; `seed` must differ between processes, since
-    /// tokens of changes are drawn from it.
+    /// Creates an executor for `table`, which should be a [`store::Guarded`] one. `seed` must
+    /// differ between processes, because the tokens of changes are derived from it.
     #[must_use]
     pub fn new(
         table: Rc<dyn Table>,
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// Nothing was changed, except possibly after `Unanswered`.
+    /// Those of the command. Nothing was changed, except possibly after `Unanswered`.
     pub async fn execute(
         &self,
         operator: &str,
@@ -97,11 +97,11 @@
             })
             .ok_or_else(|| CommandError::Refused {
                 item: "command".to_owned(),
-                fix: "nothing is left to do".to_owned(),
+                fix: "the table already has this change".to_owned(),
             })
     }
 
-    /// Makes any change; `None` if nothing was left to do.
+    /// Makes a change; `None` if the table already has it.
     ///
     /// # Errors
     ///
@@ -121,16 +121,16 @@
         dry_run: bool,
     ) -> Result<Option<Change>, I::Error> {
         let meta = self.meta(author);
-        let contested = intent.contested();
-        let mut first_seen: Option<RowVersion> = None;
+        let conflict_item = intent.conflict_item();
+        let mut first_version: Option<RowVersion> = None;
         let mut rows = RowSet::default();
-        for attempt in 0..PLAN_LIMIT {
-            self.read_for(intent, &mut rows).await?;
-            if let Some((item, wanted)) = &contested {
+        for attempt in 0..MAX_PLANS {
+            self.read_needed(intent, &mut rows).await?;
+            if let Some((item, wanted)) = &conflict_item {
                 let version = rows.version(item);
-                if *first_seen.get_or_insert(version) != version {
+                if *first_version.get_or_insert(version) != version {
                     self.read_author(item, &mut rows).await?;
-                    return Err(conflict::describe(&rows, item, wanted).into());
+                    return Err(conflict::conflict_error(&rows, item, wanted).into());
                 }
             }
             let Some(planned) = plan_intent(intent, &rows, &meta)? else {
@@ -147,16 +147,16 @@
                 Ok(TableReply::Commit(CommitOutcome::Conflict(_))) => {}
                 other => return Err(commit_error(other, meta.token).into()),
             }
-            self.pause(attempt).await;
-            // All rows in one call, as late as possible: `head` may have moved in the pause.
-            let keys = rows.keys_to_repeat();
+            self.back_off(attempt).await;
+            // Rereads all rows in one call after the delay, because `head` may have changed in it.
+            let keys = rows.keys_to_reread();
             rows = RowSet::default();
             if !keys.is_empty() {
                 self.read_keys(keys, &mut rows).await?;
             }
         }
         Err(CommandError::Unavailable {
-            detail: format!("other changes came first {PLAN_LIMIT} times"),
+            detail: format!("{MAX_PLANS} plans failed because of other changes"),
         }
         .into())
     }
@@ -167,7 +167,7 @@
             .wall()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        // Whole milliseconds, as the log keeps them: the outcome equals the log record.
+        // Rounded to whole milliseconds as in the log, so that the outcome equals the log record.
         let at_ms = Duration::from_millis(u64::try_from(since_epoch.as_millis()).unwrap_or(0));
         Meta {
             by: author.by.to_owned(),
@@ -177,9 +177,13 @@
         }
     }
 
-    /// Reads what an intent needs and `rows` lacks.
-    async fn read_for<I: Intent>(&self, intent: &I, rows: &mut RowSet) -> Result<(), CommandError> {
-        // `head` is read first: a later change to any row then fails the check on it.
+    /// Reads the rows that an intent needs and `rows` lacks.
+    async fn read_needed<I: Intent>(
+        &self,
+        intent: &I,
+        rows: &mut RowSet,
+    ) -> Result<(), CommandError> {
+        // `head` is read first, so that a later change to any row fails the check on `head`.
         let head = RowsNeeded {
             keys: vec![keys::HEAD.to_owned()],
             prefixes: Vec::new(),
@@ -245,14 +249,15 @@
         }
     }
 
-    async fn pause(&self, attempt: u32) {
-        let bound = (PAUSE_FIRST_MS * 2_u32.pow(attempt.min(10))).min(PAUSE_LAST_MS);
+    /// Waits for a random time below a bound that doubles with each attempt.
+    async fn back_off(&self, attempt: u32) {
+        let bound = (BACKOFF_FIRST_MS * 2_u32.pow(attempt.min(10))).min(BACKOFF_MAX_MS);
         let share = self.random.borrow_mut().random_range(0.0..=1.0);
         self.timer.sleep(bound.mul_f64(share)).await;
     }
 }
 
-/// Error of a commit that gave no outcome.
+/// Error for a commit whose outcome is not known, or that was not made.
 fn commit_error(result: Result<TableReply, StoreError>, token: u128) -> CommandError {
     match result {
         Err(error @ (StoreError::Unavailable(_) | StoreError::RateLimited)) => {
--- a/components/control/src/follower.rs
+++ b/components/control/src/follower.rs
@@ -1,12 +1,13 @@
-//! Follows the change log and keeps the latest snapshot.
+//! Follows the change log and keeps the latest snapshot of the configuration.
 //!
-//! The log is polled every second, and read at once when a datagram announces a newer
-//! revision. A process with a snapshot does not need the table. One without a snapshot, or
-//! one that knows that it is behind, asks its peers while the table does not answer.
+//! The log is polled every second, and read at once when a datagram announces a newer revision. A
+//! process that has a snapshot keeps working without the table. If the table is unavailable, a
+//! process without a snapshot, or one that knows of a newer revision, requests the changes from its
+//! peers.
 
-mod behind;
 mod event;
 mod exchange;
+mod lag;
 mod options;
 
 use std::collections::VecDeque;
@@ -23,30 +24,30 @@
 use types::Change;
 use types::Revision;
 
-pub use behind::Behind;
 pub use event::FollowerAction;
 pub use event::FollowerEvent;
+pub use lag::FollowerLag;
 pub use options::FollowerOptions;
 
 use crate::keys;
 use crate::loading;
+use crate::loading::LoadStep;
 use crate::loading::Loading;
-use crate::loading::Step;
 use crate::peers::PeerSnapshots;
 use crate::rows::Head;
 use crate::rows::RowError;
 use crate::rows::decode;
 use crate::snapshot::Snapshot;
 
-/// Records kept for peers: 47 minutes of changes at the average rate of the fleet of two years
-/// from now. A peer that lacks more gets a snapshot.
+/// Log records kept for peers, which is 47 minutes of changes at the average rate expected in two
+/// years. A peer that lacks more receives a snapshot.
 const RECENT_RECORDS: usize = 1024;
 
-/// Time after a read of the table in which the snapshot is taken for current. Agents that are
-/// not told of orders look for them themselves this long after an entry has lost the table.
+/// Time after a read of the table during which the snapshot counts as current. When an entry loses
+/// the table, agents poll for orders themselves after this time.
 const CURRENT_MS: Duration = Duration::from_secs(2);
 
-/// Call under way.
+/// Table request in flight.
 #[derive(Debug)]
 enum Call {
     Head,
@@ -54,7 +55,7 @@
     Loading(Box<Loading>),
 }
 
-/// State machine that follows the log.
+/// State machine that applies the change log.
 #[derive(Debug)]
 pub struct Follower {
     options: FollowerOptions,
@@ -62,24 +63,24 @@
     snapshot: Option<Rc<Snapshot>>,
     recent: VecDeque<Change>,
     known: Revision,
-    behind_since: Option<Instant>,
+    lagging_since: Option<Instant>,
     call: Option<(u64, Instant, Call)>,
     last_operation: u64,
-    /// Since when the table has given no answer.
-    silent_since: Option<Instant>,
-    /// The last call failed.
-    failing: bool,
-    /// Every change before this time is applied.
+    /// Start of the first request since the last reply of the table.
+    unanswered_since: Option<Instant>,
+    /// The last table request failed.
+    has_failed: bool,
+    /// Every change committed before this time is applied.
     current_as_of: Option<Instant>,
     next_poll: Instant,
-    /// When the log was last read because of a hint or a poll.
-    last_log: Option<Instant>,
-    next_ask: Instant,
-    from_peers: PeerSnapshots,
+    /// When the last read of the log was started.
+    last_log_read: Option<Instant>,
+    next_peer_poll: Instant,
+    peer_snapshots: PeerSnapshots,
 }
 
 impl Follower {
-    /// Starts without a snapshot; `seed` feeds the jitter of polls.
+    /// Creates a follower without a snapshot. `seed` is used for the jitter of polls.
     #[must_use]
     pub fn new(options: FollowerOptions, now: Instant, seed: u64) -> Self {
         Self {
@@ -88,26 +89,26 @@
             snapshot: None,
             recent: VecDeque::new(),
             known: 0,
-            behind_since: Some(now),
+            lagging_since: Some(now),
             call: None,
             last_operation: 0,
-            silent_since: None,
-            failing: false,
+            unanswered_since: None,
+            has_failed: false,
             current_as_of: None,
             next_poll: now,
-            last_log: None,
-            next_ask: now,
-            from_peers: PeerSnapshots::default(),
+            last_log_read: None,
+            next_peer_poll: now,
+            peer_snapshots: PeerSnapshots::default(),
         }
     }
 
-    /// The snapshot in force; `None` until the first one was read.
+    /// The latest snapshot; `None` until the first one was read.
     #[must_use]
     pub fn snapshot(&self) -> Option<&Rc<Snapshot>> {
         self.snapshot.as_ref()
     }
 
-    /// Revision in force; 0 without a snapshot.
+    /// Revision of the latest snapshot; 0 without one.
     #[must_use]
     pub fn applied(&self) -> Revision {
         self.snapshot
@@ -115,33 +116,33 @@
             .map_or(0, |snapshot| snapshot.revision())
     }
 
-    /// Whether every change but those of the last two seconds is in force, as the table says.
+    /// Whether a read of the table in the last two seconds showed that all changes are applied.
     #[must_use]
     pub fn is_current(&self, now: Instant) -> bool {
         self.current_as_of
             .is_some_and(|at| now.saturating_duration_since(at) < CURRENT_MS)
     }
 
-    /// How far the snapshot is behind what was heard of; `None` if it is not.
+    /// Lag behind the latest known revision; `None` if that revision is applied.
     #[must_use]
-    pub fn behind(&self, now: Instant) -> Option<Behind> {
-        self.behind_since.map(|since| Behind {
+    pub fn behind(&self, now: Instant) -> Option<FollowerLag> {
+        self.lagging_since.map(|since| FollowerLag {
             applied: self.applied(),
             known: self.known,
             for_ms: now.saturating_duration_since(since),
         })
     }
 
-    /// When the next tick is due.
+    /// When the next [`FollowerEvent::Tick`] is due.
     #[must_use]
     pub fn next_wake(&self) -> Instant {
         let call = match &self.call {
             Some((_, sent, _)) => *sent + self.options.call_timeout_ms,
             None => self.next_poll,
         };
-        match self.silent_since {
-            Some(since) if self.behind_since.is_some() => {
-                call.min(self.next_ask.max(since + self.options.peers_after_ms))
+        match self.unanswered_since {
+            Some(since) if self.lagging_since.is_some() => {
+                call.min(self.next_peer_poll.max(since + self.options.peer_delay_ms))
             }
             _ => call,
         }
@@ -155,10 +156,10 @@
             FollowerEvent::TableDone { operation, result } => {
                 self.table_done(now, operation, result, &mut actions);
             }
-            FollowerEvent::Hint { revision } => self.heard_of(now, revision),
+            FollowerEvent::Hint { revision } => self.observe_revision(now, revision),
             FollowerEvent::PeerAsks { peer, after } => {
-                self.heard_of(now, after);
-                self.answer(peer, after, &mut actions);
+                self.observe_revision(now, after);
+                self.answer_peer(peer, after, &mut actions);
             }
             FollowerEvent::PeerAnswered { peer, answer } => {
                 self.peer_answered(now, peer, answer, &mut actions);
@@ -169,24 +170,26 @@
         actions
     }
 
-    fn heard_of(&mut self, now: Instant, revision: Revision) {
+    /// Records a revision that exists, and reads the log soon if it is not applied.
+    fn observe_revision(&mut self, now: Instant, revision: Revision) {
         if revision <= self.known {
             return;
         }
         self.known = revision;
         if revision > self.applied() {
-            self.behind_since.get_or_insert(now);
+            self.lagging_since.get_or_insert(now);
             self.poll_soon(now);
         }
     }
 
-    /// Reads at once, unless the log was read just before or the table is known not to answer.
+    /// Schedules a read at once, or at the end of the shortest interval after the last one. Does
+    /// nothing while requests to the table fail.
     fn poll_soon(&mut self, now: Instant) {
-        if self.failing {
+        if self.has_failed {
             return;
         }
         let due = self
-            .last_log
+            .last_log_read
             .map_or(now, |at| now.max(at + self.options.hint_gap_ms));
         self.next_poll = self.next_poll.min(due);
     }
@@ -213,7 +216,7 @@
 
     fn start(&mut self, now: Instant, call: Call, actions: &mut Vec<FollowerAction>) {
         if matches!(call, Call::Log) {
-            self.last_log = Some(now);
+            self.last_log_read = Some(now);
         }
         let request = match &call {
             Call::Head => TableRequest::Read(vec![keys::HEAD.to_owned()]),
@@ -223,7 +226,7 @@
         self.last_operation += 1;
         let operation = self.last_operation;
         self.call = Some((operation, now, call));
-        self.silent_since.get_or_insert(now);
+        self.unanswered_since.get_or_insert(now);
         actions.push(FollowerAction::Table { operation, request });
     }
 
@@ -238,22 +241,22 @@
             return;
         };
         let Ok(TableReply::Rows(rows)) = result else {
-            self.failing = true;
+            self.has_failed = true;
             return;
         };
-        self.failing = false;
-        self.silent_since = None;
-        let is_whole = match call {
+        self.has_failed = false;
+        self.unanswered_since = None;
+        let is_latest = match call {
             Call::Head => true,
             Call::Log => rows.len() < loading::PAGE_ROWS,
             Call::Loading(_) => false,
         };
         let outcome = match call {
-            Call::Head => self.read_head(now, &rows),
-            Call::Log => self.read_log(now, &rows, actions),
-            Call::Loading(loading) => self.read_page(now, *loading, &rows, actions),
+            Call::Head => self.handle_head(now, &rows),
+            Call::Log => self.handle_log(now, &rows, actions),
+            Call::Loading(loading) => self.handle_page(now, *loading, &rows, actions),
         };
-        if is_whole && outcome.is_ok() && self.known <= self.applied() {
+        if is_latest && outcome.is_ok() && self.known <= self.applied() {
             self.current_as_of = Some(sent);
         }
         if let Err(error) = outcome {
@@ -263,16 +266,16 @@
         }
     }
 
-    fn read_head(&mut self, now: Instant, rows: &[store::Row]) -> Result<(), RowError> {
+    fn handle_head(&mut self, now: Instant, rows: &[store::Row]) -> Result<(), RowError> {
         let head: Option<Head> = rows.first().map(decode).transpose()?;
-        self.heard_of(now, head.unwrap_or_default().revision);
+        self.observe_revision(now, head.unwrap_or_default().revision);
         if self.known > self.applied() {
             self.poll_soon(now);
         }
         Ok(())
     }
 
-    fn read_log(
+    fn handle_log(
         &mut self,
         now: Instant,
         rows: &[store::Row],
@@ -284,7 +287,7 @@
             match decode(row) {
                 Ok(change) => changes.push(change),
                 Err(error) => {
-                    // The records before it are good.
+                    // The records before this one are applied.
                     outcome = Err(error);
                     break;
                 }
@@ -297,22 +300,22 @@
         outcome
     }
 
-    fn read_page(
+    fn handle_page(
         &mut self,
         now: Instant,
         loading: Loading,
         rows: &[store::Row],
         actions: &mut Vec<FollowerAction>,
     ) -> Result<(), RowError> {
-        match loading.page(rows)? {
-            Step::More(loading) => self.start(now, Call::Loading(Box::new(loading)), actions),
-            Step::Done(snapshot) => self.replace(now, snapshot, actions),
+        match loading.add_page(rows)? {
+            LoadStep::More(loading) => self.start(now, Call::Loading(Box::new(loading)), actions),
+            LoadStep::Done(snapshot) => self.replace_snapshot(now, snapshot, actions),
         }
         Ok(())
     }
 
-    /// Applies the records that follow on the snapshot; earlier ones are skipped, and those
-    /// after a gap wait for the next read.
+    /// Applies the records that follow the snapshot without a gap. Earlier ones are skipped, and
+    /// those after a gap are read again later.
     fn apply(&mut self, now: Instant, changes: Vec<Change>, actions: &mut Vec<FollowerAction>) {
         let Some(current) = &self.snapshot else {
             return;
@@ -330,11 +333,16 @@
         self.recent.extend(applied.iter().cloned());
         let excess = self.recent.len().saturating_sub(RECENT_RECORDS);
         self.recent.drain(..excess);
-        self.put_in_force(now, next, applied, actions);
+        self.install(now, next, applied, actions);
     }
 
-    /// Puts a whole snapshot in force, unless it is older than the one in force.
-    fn replace(&mut self, now: Instant, next: Snapshot, actions: &mut Vec<FollowerAction>) {
+    /// Replaces the snapshot by a complete one, unless the present one is as new.
+    fn replace_snapshot(
+        &mut self,
+        now: Instant,
+        next: Snapshot,
+        actions: &mut Vec<FollowerAction>,
+    ) {
         if self
             .snapshot
             .as_ref()
@@ -343,10 +351,11 @@
             return;
         }
         self.recent.clear();
-        self.put_in_force(now, next, Vec::new(), actions);
+        self.install(now, next, Vec::new(), actions);
     }
 
-    fn put_in_force(
+    /// Makes a snapshot the latest one.
+    fn install(
         &mut self,
         now: Instant,
         next: Snapshot,
@@ -356,11 +365,11 @@
         let snapshot = Rc::new(next);
         self.known = self.known.max(snapshot.revision());
         let is_behind = self.known > snapshot.revision();
-        self.behind_since = self.behind_since.or(Some(now)).filter(|_| is_behind);
+        self.lagging_since = self.lagging_since.or(Some(now)).filter(|_| is_behind);
         if is_behind {
             self.poll_soon(now);
         }
-        self.from_peers.drop_up_to(snapshot.revision());
+        self.peer_snapshots.abort_up_to(snapshot.revision());
         self.snapshot = Some(Rc::clone(&snapshot));
         actions.push(FollowerAction::Applied { snapshot, changes });
     }
--- a/components/control/src/follower/event.rs
+++ b/components/control/src/follower/event.rs
@@ -1,4 +1,4 @@
-//! What a follower is told, and what it wants done.
+//! Events and actions of the follower state machine.
 
 use std::rc::Rc;
 
@@ -12,71 +12,72 @@
 use crate::peers::PeerAnswer;
 use crate::snapshot::Snapshot;
 
-/// What a follower is told.
+/// Input of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FollowerEvent {
-    /// Time passed.
+    /// The time of [`Follower::next_wake`](super::Follower::next_wake) has come.
     Tick,
-    /// A table request ended.
+    /// A table request succeeded or failed.
     TableDone {
-        /// From the action.
+        /// Number of the request, from [`FollowerAction::Table`].
         operation: u64,
-        /// Its end.
+        /// Reply or error.
         result: Result<TableReply, StoreError>,
     },
-    /// Another process has applied this revision.
+    /// Another process announced the revision that it has applied.
     Hint {
-        /// Its revision.
+        /// Announced revision.
         revision: Revision,
     },
-    /// A peer asks for the changes after a revision.
+    /// A peer requests the changes after a revision.
     PeerAsks {
-        /// Run of the peer.
+        /// Incarnation of the peer.
         peer: Incarnation,
-        /// Revision that it has; 0 for none.
+        /// Revision that the peer has applied; 0 without a snapshot.
         after: Revision,
     },
     /// A peer answered.
     PeerAnswered {
-        /// Run of the peer.
+        /// Incarnation of the peer.
         peer: Incarnation,
-        /// Its answer.
+        /// Log records or one part of a snapshot.
         answer: PeerAnswer,
     },
 }
 
-/// What a follower wants done.
+/// Output of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FollowerAction {
-    /// Make a call and report its end.
+    /// Make a table request and report its result as [`FollowerEvent::TableDone`].
     Table {
-        /// Number of the call within this follower.
+        /// Number of the request within this follower.
         operation: u64,
-        /// The call.
+        /// Request to make.
         request: TableRequest,
     },
-    /// Ask a peer for the changes after a revision; another one each time.
+    /// Request the changes after a revision from a peer, and from a different peer each time.
     AskPeer {
-        /// Revision in force here; 0 asks for a snapshot.
+        /// Revision that the follower has applied; 0 requests a snapshot.
         after: Revision,
     },
-    /// Answer a peer.
+    /// Send an answer to a peer.
     AnswerPeer {
-        /// Run of the peer.
+        /// Incarnation of the peer.
         peer: Incarnation,
-        /// The answer.
+        /// Log records or one part of a snapshot, in order of parts.
         answer: PeerAnswer,
     },
-    /// A newer snapshot is in force.
+    /// A newer snapshot was applied.
     Applied {
-        /// The snapshot.
+        /// Snapshot after all changes.
         snapshot: Rc<Snapshot>,
-        /// Changes that led to it, oldest first; empty after a whole snapshot was read.
+        /// Changes since the previous snapshot, oldest first; empty if a complete snapshot
+        /// replaced it.
         changes: Vec<Change>,
     },
-    /// Something in the table or from a peer was not understood, and was not applied.
+    /// A row of the table or a record of a peer could not be decoded and was not applied.
     Rejected {
-        /// For the log.
+        /// Error text for the log.
         detail: String,
     },
 }
--- a/components/control/src/follower/exchange.rs
+++ b/components/control/src/follower/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchange of the log with peers while the table does not answer.
+//! Exchange of log records and snapshots with peers while the table is unavailable.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 use crate::snapshot::Snapshot;
 
 impl Follower {
-    pub(super) fn answer(
+    pub(super) fn answer_peer(
         &self,
         peer: Incarnation,
         after: Revision,
@@ -33,7 +33,7 @@
         answer: PeerAnswer,
         actions: &mut Vec<FollowerAction>,
     ) {
-        self.heard_of(now, answer.head());
+        self.observe_revision(now, answer.head());
         let before = self.applied();
         match answer.decode() {
             Err(detail) => actions.push(FollowerAction::Rejected { detail }),
@@ -45,36 +45,37 @@
                 records,
             )) => {
                 if head > before || self.snapshot.is_none() {
-                    let whole = self.from_peers.add(peer, head, part, parts, records);
-                    if let Some(snapshot) = whole
+                    let complete = self.peer_snapshots.add(peer, head, part, parts, records);
+                    if let Some(snapshot) = complete
                         && !self.would_revert(&snapshot)
                     {
-                        self.replace(now, snapshot, actions);
+                        self.replace_snapshot(now, snapshot, actions);
                     }
                 }
             }
         }
         if self.applied() > before {
-            // The answer may have been cut at its size limit.
-            self.next_ask = now;
+            // The answer may have been truncated at its size limit; the rest is requested at once.
+            self.next_peer_poll = now;
         }
     }
 
-    /// Whether a first snapshot is older than a head that others have announced. An earlier run
-    /// of this process may have applied that head, and nothing may go back; without an answer of
-    /// a peer that has it, requests are refused as not ready.
+    /// Whether a first snapshot is older than the latest known revision. An earlier run of this
+    /// process may have applied that revision, and the configuration must not revert. Until a peer
+    /// with that revision answers, requests are refused as not ready.
     fn would_revert(&self, snapshot: &Snapshot) -> bool {
         self.snapshot.is_none() && snapshot.revision() < self.known
     }
 
+    /// Requests changes from a peer, if the follower lags and the table is unavailable.
     pub(super) fn ask_peers(&mut self, now: Instant, actions: &mut Vec<FollowerAction>) {
-        let silent = self.silent_since.is_some_and(|since| {
-            now.saturating_duration_since(since) >= self.options.peers_after_ms
+        let is_unanswered = self.unanswered_since.is_some_and(|since| {
+            now.saturating_duration_since(since) >= self.options.peer_delay_ms
         });
-        if !silent || self.behind_since.is_none() || now < self.next_ask {
+        if !is_unanswered || self.lagging_since.is_none() || now < self.next_peer_poll {
             return;
         }
-        self.next_ask = now + self.options.poll_ms;
+        self.next_peer_poll = now + self.options.poll_ms;
         actions.push(FollowerAction::AskPeer {
             after: self.applied(),
         });
--- a/components/control/src/follower/options.rs
+++ b/components/control/src/follower/options.rs
@@ -1,19 +1,20 @@
-//! Times of a follower.
+//! Intervals and time limits of a follower.
 
 use std::time::Duration;
 
-/// Times that a follower keeps.
+/// Intervals and time limits of a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowerOptions {
-    /// Time between polls; each one is drawn between three quarters of it and the whole.
+    /// Longest time between polls. Each interval is random, between three quarters of this time and
+    /// all of it.
     pub poll_ms: Duration,
-    /// Least time between two reads of the log that hints cause. Every entry hears of every
-    /// change at once, and the table takes about 2,000 reads a second from all of them.
+    /// Shortest time between two reads of the log that hints cause. All entries receive the hint of
+    /// a change at the same time, and the table serves about 2,000 reads/s to all of them together.
     pub hint_gap_ms: Duration,
-    /// Time without an answer of the table after which peers are asked.
-    pub peers_after_ms: Duration,
-    /// Time without an answer after which a call is forgotten and made again. Longer than the
-    /// guarded table's give-up time.
+    /// Time without a reply of the table after which changes are requested from peers.
+    pub peer_delay_ms: Duration,
+    /// Time without a reply after which a table request is repeated. Longer than the time limit of
+    /// the guarded table.
     pub call_timeout_ms: Duration,
 }
 
@@ -22,7 +23,7 @@
         Self {
             poll_ms: Duration::from_secs(1),
             hint_gap_ms: Duration::from_millis(200),
-            peers_after_ms: Duration::from_millis(750),
+            peer_delay_ms: Duration::from_millis(750),
             call_timeout_ms: Duration::from_secs(15),
         }
     }
--- a/components/control/src/keys.rs
+++ b/components/control/src/keys.rs
@@ -4,20 +4,20 @@
 
 /// Row that holds the revision of the latest change.
 pub const HEAD: &str = "head";
-/// Start of the keys of log records.
+/// Key prefix of log records.
 pub const LOG: &str = "log/";
-/// Start of the keys of profiles.
+/// Key prefix of profiles.
 pub const PROFILE: &str = "profile/";
-/// Start of the keys of services.
+/// Key prefix of services.
 pub const SERVICE: &str = "service/";
-/// Start of the keys of targets.
+/// Key prefix of targets.
 pub const TARGET: &str = "target/";
-/// Start of the keys of orders.
+/// Key prefix of orders.
 pub const ORDER: &str = "order/";
-/// Start of the keys of leases.
+/// Key prefix of leases.
 pub const LEASE: &str = "lease/";
 
-/// Log record of a revision. Padded, so that the order of keys is the order of revisions.
+/// Row of a log record. The revision is zero-padded, so that keys sort by revision.
 #[must_use]
 pub fn log(revision: Revision) -> String {
     format!("{LOG}{revision:020}")
--- a/components/control/src/lease.rs
+++ b/components/control/src/lease.rs
@@ -1,13 +1,13 @@
-//! Lease of a scope: at most one entry plans for a service, or sweeps.
+//! Lease of a scope, so that at most one entry plans for a service or runs the sweep.
 //!
-//! Another entry takes a lease over only after it has seen the row unchanged for the whole
-//! duration on its own clock; clocks of two hosts are never compared. A holder that does not
-//! know that it lost the lease can do no harm, since every order is planned under the row's
-//! version.
+//! An entry takes over a lease only after the row has been unchanged for the lease duration on the
+//! entry's own clock; clocks of two hosts are never compared. A holder that has lost the lease
+//! without knowing cannot write orders, because each order is committed with a check on the version
+//! of the lease row.
 //!
-//! With many entries only a few are candidates for a lease (see [`crate::rendezvous`]). The
-//! others observe it: they look at the row rarely, and take it over when it did not change
-//! between two looks, so that a lease is still taken when all candidates are gone.
+//! With many entries only a few are candidates for a lease (see [`crate::rendezvous`]). The others
+//! are observers: they poll the row rarely, and take the lease over if the row has not changed
+//! between two polls, so that the lease is taken even when all candidates have failed.
 
 mod event;
 
@@ -36,40 +36,40 @@
 pub use event::LeaseAction;
 pub use event::LeaseEvent;
 
-/// Call under way.
+/// Table request in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Call {
     Read,
-    /// Take over, renew or release, with the row's value if the commit succeeds.
+    /// Acquires, renews or releases the lease; holds the value of the row to write.
     Write(LeaseRow),
 }
 
-/// Row as last seen.
+/// Row as last read or written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Seen {
+struct ObservedRow {
     version: RowVersion,
     row: Option<LeaseRow>,
-    /// When this version was first seen; an upper bound of when it was written.
+    /// When this version was first read; it was written before this time.
     since: Instant,
-    /// When it was last seen.
+    /// When this version was last read.
     last: Instant,
 }
 
-/// State machine of one lease in one entry.
+/// State machine for one lease in one entry.
 #[derive(Debug)]
 pub struct Lease {
     scope: String,
-    me: Incarnation,
+    own_incarnation: Incarnation,
     duration_ms: Duration,
-    /// Time between two looks without the lease.
-    look_ms: Duration,
+    /// Time between two reads of the row while the lease is not held.
+    poll_ms: Duration,
     random: StdRng,
-    seen: Option<Seen>,
-    /// The last write has an unknown outcome: the row is read before the next one.
+    seen: Option<ObservedRow>,
+    /// The outcome of the last write is unknown, so the row is read before the next write.
     in_doubt: bool,
     held: Option<HeldLease>,
-    /// When the last successful renewal was sent.
-    renewed: Option<Instant>,
+    /// When the last successful write of the lease was sent.
+    renewal_sent: Option<Instant>,
     releasing: bool,
     call: Option<(u64, Instant, Call)>,
     last_operation: u64,
@@ -77,25 +77,26 @@
 }
 
 impl Lease {
-    /// Starts without the lease; `seed` feeds the jitter between calls.
+    /// Creates a candidate that does not hold the lease. `seed` is used for the jitter between
+    /// requests.
     #[must_use]
     pub fn new(
         scope: &str,
-        me: Incarnation,
+        own_incarnation: Incarnation,
         duration_ms: Duration,
         now: Instant,
         seed: u64,
     ) -> Self {
         Self {
             scope: scope.to_owned(),
-            me,
+            own_incarnation,
             duration_ms,
-            look_ms: duration_ms / 3,
+            poll_ms: duration_ms / 3,
             random: StdRng::seed_from_u64(seed),
             seen: None,
             in_doubt: false,
             held: None,
-            renewed: None,
+            renewal_sent: None,
             releasing: false,
             call: None,
             last_operation: 0,
@@ -103,26 +104,26 @@
         }
     }
 
-    /// Starts as an observer, which looks at the row every `look_ms` until it holds the lease.
-    /// The first look comes at a random time within that, so that entries started together do
-    /// not look together and candidates come first.
+    /// Makes the entry an observer, which reads the row every `poll_ms` until it holds the lease.
+    /// The first read is after a random part of `poll_ms`, so that entries started together do not
+    /// read at the same time, and candidates acquire the lease first.
     #[must_use]
-    pub fn observing(mut self, look_ms: Duration) -> Self {
-        self.look_ms = look_ms.max(self.duration_ms / 3);
-        self.next_call += self.look_ms.mul_f64(self.random.random_range(0.0..=1.0));
+    pub fn observing(mut self, poll_ms: Duration) -> Self {
+        self.poll_ms = poll_ms.max(self.duration_ms / 3);
+        self.next_call += self.poll_ms.mul_f64(self.random.random_range(0.0..=1.0));
         self
     }
 
-    /// The lease, if it is held and its last renewal is younger than two thirds of the
-    /// duration.
+    /// The lease, if it is held and its last renewal was sent less than two thirds of the duration
+    /// ago.
     #[must_use]
     pub fn held(&self, now: Instant) -> Option<&HeldLease> {
-        let renewed = self.renewed?;
-        let fresh = now.saturating_duration_since(renewed) < self.duration_ms * 2 / 3;
-        self.held.as_ref().filter(|_| fresh && !self.releasing)
+        let renewal_sent = self.renewal_sent?;
+        let is_fresh = now.saturating_duration_since(renewal_sent) < self.duration_ms * 2 / 3;
+        self.held.as_ref().filter(|_| is_fresh && !self.releasing)
     }
 
-    /// When the next tick is due.
+    /// When the next [`LeaseEvent::Tick`] is due.
     #[must_use]
     pub fn next_wake(&self) -> Instant {
         match &self.call {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Nothing is left to do after a release.
+    /// Whether a release was requested and the lease is no longer held.
     #[must_use]
     pub fn is_released(&self) -> bool {
         self.releasing && self.held.is_none()
@@ -158,8 +159,8 @@
         if let Some((_, sent, _)) = &self.call
             && now.saturating_duration_since(*sent) >= self.duration_ms
         {
-            // The call is forgotten; if it still takes effect, the next read shows it.
-            self.forget_call();
+            // The request timed out. If it still takes effect, the next read shows it.
+            self.abandon_call();
         }
         if self.call.is_some() || now < self.next_call || self.is_released() {
             return;
@@ -177,47 +178,49 @@
         actions.push(LeaseAction::Table { operation, request });
     }
 
-    /// Value to write now; `None` if the row must be read first or belongs to another entry.
+    /// Row value to write now; `None` if the row must be read first, is held by another entry, or
+    /// needs no write.
     fn next_write(&self, now: Instant) -> Option<LeaseRow> {
         let seen = self.seen.filter(|_| !self.in_doubt)?;
         let Some(row) = seen.row else {
             let is_free = !self.is_observer() || self.is_unchanged(now, seen);
             return (is_free && !self.releasing).then_some(LeaseRow {
-                holder: self.me,
+                holder: self.own_incarnation,
                 fencing: 1,
                 renewal: 1,
             });
         };
         let renewal = row.renewal + 1;
         if self.releasing {
-            return (row.holder == self.me).then_some(LeaseRow {
+            return (row.holder == self.own_incarnation).then_some(LeaseRow {
                 holder: 0,
                 renewal,
                 ..row
             });
         }
-        if row.holder == self.me {
+        if row.holder == self.own_incarnation {
             return Some(LeaseRow { renewal, ..row });
         }
         let is_free = row.holder == 0 && !self.is_observer();
         (is_free || self.is_unchanged(now, seen)).then_some(LeaseRow {
-            holder: self.me,
+            holder: self.own_incarnation,
             fencing: row.fencing + 1,
             renewal,
         })
     }
 
-    /// Whether the row may be taken over. An observer tries that only after a recent look,
-    /// because a try on an old version is a write that fails.
-    fn is_unchanged(&self, now: Instant, seen: Seen) -> bool {
+    /// Whether the row was unchanged for the lease duration. An observer must also have read it
+    /// recently, because a write that checks an old version fails.
+    fn is_unchanged(&self, now: Instant, seen: ObservedRow) -> bool {
         let is_recent = now.saturating_duration_since(seen.last) < self.duration_ms / 3;
         let is_old = now.saturating_duration_since(seen.since) >= self.duration_ms;
         is_old && (is_recent || !self.is_observer())
     }
 
-    /// Leaves a free lease to the candidates for one duration.
+    /// Whether this entry is an observer, which leaves a free lease to the candidates for one lease
+    /// duration.
     fn is_observer(&self) -> bool {
-        self.look_ms > self.duration_ms / 3
+        self.poll_ms > self.duration_ms / 3
     }
 
     fn commit(&self, row: LeaseRow, version: RowVersion) -> TableRequest {
@@ -244,24 +247,24 @@
         };
         match (call, result) {
             (Call::Read, Ok(TableReply::Rows(rows))) => {
-                self.saw(now, rows.first(), actions);
+                self.row_read(now, rows.first(), actions);
             }
             (Call::Write(row), Ok(TableReply::Commit(CommitOutcome::Committed(versions)))) => {
-                self.wrote(now, sent, row, versions.first().copied(), actions);
+                self.row_written(now, sent, row, versions.first().copied(), actions);
             }
             (Call::Write(_), Ok(TableReply::Commit(CommitOutcome::Conflict(rows)))) => {
-                self.saw(now, rows.first().filter(|row| row.version != 0), actions);
+                self.row_read(now, rows.first().filter(|row| row.version != 0), actions);
             }
             (Call::Write(_), _) => self.in_doubt = true,
             (Call::Read, _) => {}
         }
     }
 
-    /// Takes note of the row as it is in the table.
-    fn saw(&mut self, now: Instant, row: Option<&Row>, actions: &mut Vec<LeaseAction>) {
+    /// Updates the state from the row as read.
+    fn row_read(&mut self, now: Instant, row: Option<&Row>, actions: &mut Vec<LeaseAction>) {
         let version = row.map_or(0, |row| row.version);
         self.in_doubt = false;
-        // A row that is not understood is left alone.
+        // A row that this version cannot decode is left unchanged.
         let Ok(value) = row.map(decode::<LeaseRow>).transpose() else {
             return;
         };
@@ -269,28 +272,29 @@
             .seen
             .filter(|seen| seen.version == version)
             .map_or(now, |seen| seen.since);
-        let seen = Seen {
+        let seen = ObservedRow {
             version,
             row: value,
             since,
             last: now,
         };
         self.seen = Some(seen);
-        let mine = value.is_some_and(|row| {
-            row.holder == self.me
+        let is_own = value.is_some_and(|row| {
+            row.holder == self.own_incarnation
                 && self
                     .held
                     .as_ref()
                     .is_none_or(|held| held.fencing == row.fencing)
         });
-        if mine {
-            // Written by an earlier call whose reply was lost: renew at once to be sure.
+        if is_own {
+            // An earlier write took effect although its reply was lost. Renews at once to get the
+            // version.
             self.next_call = now;
         } else if self.held.take().is_some() {
-            self.renewed = None;
+            self.renewal_sent = None;
             actions.push(LeaseAction::Lost);
         }
-        if self.releasing && !mine {
+        if self.releasing && !is_own {
             self.held = None;
         }
         let is_free = value.is_none_or(|row| row.holder == 0);
@@ -305,8 +309,8 @@
         }
     }
 
-    /// Takes note of an own write.
-    fn wrote(
+    /// Updates the state after a successful write.
+    fn row_written(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -315,7 +319,7 @@
         actions: &mut Vec<LeaseAction>,
     ) {
         let version = version.unwrap_or(0);
-        self.seen = (version != 0).then_some(Seen {
+        self.seen = (version != 0).then_some(ObservedRow {
             version,
             row: Some(row),
             since: now,
@@ -327,37 +331,39 @@
             }
             return;
         }
-        let known = self
+        let is_known = self
             .held
             .as_ref()
             .is_some_and(|held| held.fencing == row.fencing);
         let held = HeldLease {
             scope: self.scope.clone(),
-            holder: self.me,
+            holder: self.own_incarnation,
             fencing: row.fencing,
             version,
         };
-        self.renewed = Some(sent);
+        self.renewal_sent = Some(sent);
         self.held = Some(held.clone());
-        if !known {
+        if !is_known {
             actions.push(LeaseAction::Acquired(held));
         }
     }
 
-    fn forget_call(&mut self) {
+    /// Gives up on the request in flight; the outcome of a write is then unknown.
+    fn abandon_call(&mut self) {
         if let Some((_, _, Call::Write(_))) = self.call.take() {
             self.in_doubt = true;
         }
     }
 
-    /// Writes are made every third of the duration, with jitter so that entries that wait for
-    /// the same lease do not call in step. A write in doubt is settled as soon.
+    /// Sets the time of the next request. Writes, and reads after a write with an unknown outcome,
+    /// are a third of the duration apart. Jitter keeps entries that wait for the same lease from
+    /// making their requests at the same time.
     fn schedule(&mut self, now: Instant, is_writing: bool) {
         let share = self.random.random_range(0.8..=1.0);
         let interval = if is_writing {
             self.duration_ms / 3
         } else {
-            self.look_ms
+            self.poll_ms
         };
         self.next_call = now + interval.mul_f64(share);
     }
--- a/components/control/src/lease/event.rs
+++ b/components/control/src/lease/event.rs
@@ -1,4 +1,4 @@
-//! What a lease is told and what it wants done.
+//! Events and actions of the lease state machine.
 
 use store::RowVersion;
 use store::StoreError;
@@ -7,47 +7,47 @@
 use types::FencingNumber;
 use types::Incarnation;
 
-/// A lease as its holder last wrote it.
+/// A lease row as its holder last wrote it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldLease {
-    /// Service, or `sweep`.
+    /// Name of the service, or `sweep`.
     pub scope: String,
-    /// Run of the entry that holds it.
+    /// Incarnation of the entry that holds the lease.
     pub holder: Incarnation,
-    /// Number that orders under the lease carry.
+    /// Fencing number that orders under this lease carry.
     pub fencing: FencingNumber,
-    /// Version of the row.
+    /// Version of the lease row.
     pub version: RowVersion,
 }
 
-/// What a lease is told.
+/// Input of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// Time passed.
+    /// The time of [`Lease::next_wake`](super::Lease::next_wake) has come.
     Tick,
-    /// A table request ended.
+    /// A table request succeeded or failed.
     TableDone {
-        /// From the action.
+        /// Number of the request, from [`LeaseAction::Table`].
         operation: u64,
-        /// Its end.
+        /// Reply or error.
         result: Result<TableReply, StoreError>,
     },
-    /// The process stops: give the lease back and take no other.
+    /// The process stops: release the lease and do not acquire it again.
     Release,
 }
 
-/// What a lease wants done.
+/// Output of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Make a call and report its end.
+    /// Make a table request and report its result as [`LeaseEvent::TableDone`].
     Table {
-        /// Number of the call within this lease.
+        /// Number of the request within this lease.
         operation: u64,
-        /// The call.
+        /// Request to make.
         request: TableRequest,
     },
-    /// The lease is held from now on, under a new fencing number.
+    /// The lease was acquired under a new fencing number.
     Acquired(HeldLease),
-    /// The lease is no longer held: another entry took it, or it was given back.
+    /// The lease is no longer held: another entry took it over, or it was released.
     Lost,
 }
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -1,7 +1,8 @@
-//! Versions of the configuration: profiles, services, targets, orders and the change log.
+//! Versioned configuration: profiles, services, targets, orders and the change log.
 //!
-//! Functions that plan transactions are pure; state machines emit table requests and are told
-//! of their end.
+//! Transactions are planned by pure functions from rows that were read. The follower and the lease
+//! are state machines without I/O: they return the table requests to make and receive the results
+//! as events. [`Executor`] reads, plans and commits a change.
 
 pub mod audit;
 pub mod command;
@@ -27,10 +28,10 @@
 pub use command::CommandRequest;
 pub use execute::Author;
 pub use execute::Executor;
-pub use follower::Behind;
 pub use follower::Follower;
 pub use follower::FollowerAction;
 pub use follower::FollowerEvent;
+pub use follower::FollowerLag;
 pub use follower::FollowerOptions;
 pub use lease::HeldLease;
 pub use lease::Lease;
--- a/components/control/src/loading.rs
+++ b/components/control/src/loading.rs
@@ -1,9 +1,8 @@
-//! Reads a whole snapshot from the table while changes go on.
+//! Reads a complete snapshot from the table while changes are being written.
 //!
-//! `head` is read first, then all rows, which may be newer than that head, and then the log
-//! records after it. Replaying the records in order leads to the state of the last one: a row
-//! that changed in the meantime is overwritten by its latest record, and every other row is as
-//! it was at the first head.
+//! `head` is read first, then all rows, which may be newer than that head, and then the log records
+//! after it. Applying the records in order gives the state of the last one: a row that changed in
+//! the meantime is overwritten by its latest record, and every other row is as it was at the head.
 
 use store::Row;
 use store::TableRequest;
@@ -16,12 +15,12 @@
 use crate::rows::decode;
 use crate::snapshot::Snapshot;
 
-/// Rows read with one call.
+/// Most rows read with one table call.
 pub(crate) const PAGE_ROWS: usize = 256;
-/// Kinds of rows in a snapshot.
+/// Key prefixes of the rows in a snapshot, in the order in which they are read.
 const PREFIXES: [&str; 4] = [keys::PROFILE, keys::SERVICE, keys::TARGET, keys::ORDER];
 
-/// Progress of the reading.
+/// State of a snapshot that is being read.
 #[derive(Debug, Default)]
 pub(crate) struct Loading {
     stage: Stage,
@@ -41,14 +40,14 @@
     Log,
 }
 
-/// What follows a page.
-pub(crate) enum Step {
+/// State after a page was added.
+pub(crate) enum LoadStep {
     More(Loading),
     Done(Snapshot),
 }
 
 impl Loading {
-    /// The call to make now.
+    /// Next table request.
     pub(crate) fn request(&self) -> TableRequest {
         match &self.stage {
             Stage::Head => TableRequest::Read(vec![keys::HEAD.to_owned()]),
@@ -61,12 +60,12 @@
         }
     }
 
-    /// Adds the answer to the call.
-    pub(crate) fn page(mut self, rows: &[Row]) -> Result<Step, RowError> {
+    /// Adds the rows that answer the last request.
+    pub(crate) fn add_page(mut self, rows: &[Row]) -> Result<LoadStep, RowError> {
         match self.stage {
             Stage::Head => {
                 let head: Option<Head> = rows.first().map(decode).transpose()?;
-                self.snapshot = Snapshot::at(head.unwrap_or_default().revision);
+                self.snapshot = Snapshot::empty_at(head.unwrap_or_default().revision);
                 self.stage = Stage::Rows {
                     prefix: 0,
                     after: String::new(),
@@ -76,25 +75,26 @@
                 for row in rows {
                     self.newest_row = self.newest_row.max(self.snapshot.add_row(row)?);
                 }
-                self.stage = next_rows(prefix, rows);
+                self.stage = stage_after_rows(prefix, rows);
             }
             Stage::Log => {
                 for row in rows {
                     let change: Change = decode(row)?;
                     if self.snapshot.apply(&change).is_err() {
-                        return Ok(Step::More(Self::default()));
+                        return Ok(LoadStep::More(Self::default()));
                     }
                 }
                 if rows.len() < PAGE_ROWS && self.newest_row <= self.snapshot.revision() {
-                    return Ok(Step::Done(self.snapshot));
+                    return Ok(LoadStep::Done(self.snapshot));
                 }
             }
         }
-        Ok(Step::More(self))
+        Ok(LoadStep::More(self))
     }
 }
 
-fn next_rows(prefix: usize, rows: &[Row]) -> Stage {
+/// Stage after a page of the rows with a prefix.
+fn stage_after_rows(prefix: usize, rows: &[Row]) -> Stage {
     match rows.last() {
         Some(last) if rows.len() >= PAGE_ROWS => Stage::Rows {
             prefix,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Reads the records after a revision.
+/// Request for the log records after a revision.
 pub(crate) fn scan_log(after: Revision) -> TableRequest {
     TableRequest::Scan {
         prefix: keys::LOG.to_owned(),
--- a/components/control/src/operators.rs
+++ b/components/control/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' commands as plans.
+//! Plans for operators' commands.
 
 use store::Put;
 use types::ChangeBody;
@@ -24,7 +24,8 @@
 use crate::rows::Versioned;
 use crate::rows::decode;
 
-/// Rows to read before `plan`, given those already read; call again until it is empty.
+/// Rows to read before [`plan`], given those already read. Call again after reading them, until the
+/// result is empty.
 #[must_use]
 pub fn rows_needed(request: &CommandRequest, rows: &RowSet) -> RowsNeeded {
     let mut needed = request.rows_needed(rows);
@@ -36,18 +37,18 @@
 ///
 /// # Errors
 ///
-/// Says why the command is impossible in the state that the rows show.
+/// The reason why the command is not possible in the state that the rows show.
 pub fn plan(request: &CommandRequest, rows: &RowSet, meta: &Meta) -> Result<Planned, CommandError> {
     plan_intent(request, rows, meta)?.ok_or_else(|| CommandError::Refused {
         item: item_key(&request.command),
-        fix: "nothing is left to do".to_owned(),
+        fix: "the table already has this change".to_owned(),
     })
 }
 
 impl Intent for CommandRequest {
     type Error = CommandError;
 
-    fn contested(&self) -> Option<(String, serde_json::Value)> {
+    fn conflict_item(&self) -> Option<(String, serde_json::Value)> {
         let wanted = match &self.command {
             Command::CreateProfile { profile } | Command::ChangeProfile { profile } => {
                 serde_json::to_value(profile)
@@ -71,7 +72,10 @@
             }
         }
         let revision = rows.revision(&item);
-        if self.if_revision.is_some_and(|seen| seen != revision) {
+        if self
+            .if_revision
+            .is_some_and(|expected| expected != revision)
+        {
             needed.keys.push(keys::log(revision));
         }
         needed.keys.push(item);
@@ -80,7 +84,7 @@
 
     fn draft(&self, rows: &RowSet, revision: Revision) -> Result<Option<Draft>, CommandError> {
         check_names(&self.command)?;
-        self.check_seen(rows)?;
+        self.check_revision(rows)?;
         let draft = match &self.command {
             Command::CreateProfile { profile } => create_profile(profile, rows, revision),
             Command::ChangeProfile { profile } => change_profile(profile, rows, revision),
@@ -99,18 +103,18 @@
 }
 
 impl CommandRequest {
-    /// Fails if the item has changed since the operator saw it.
-    fn check_seen(&self, rows: &RowSet) -> Result<(), CommandError> {
-        let Some((item, wanted)) = self.contested() else {
+    /// Fails if the item does not have the expected revision.
+    fn check_revision(&self, rows: &RowSet) -> Result<(), CommandError> {
+        let Some((item, wanted)) = self.conflict_item() else {
             return Ok(());
         };
         if self
             .if_revision
-            .is_none_or(|seen| seen == rows.revision(&item))
+            .is_none_or(|expected| expected == rows.revision(&item))
         {
             return Ok(());
         }
-        Err(conflict::describe(rows, &item, &wanted))
+        Err(conflict::conflict_error(rows, &item, &wanted))
     }
 }
 
@@ -125,7 +129,7 @@
     }
 }
 
-/// Names become parts of row keys, so no other characters may get in.
+/// Validates the names in a command, because they become parts of row keys.
 fn check_names(command: &Command) -> Result<(), CommandError> {
     let (field, name) = match command {
         Command::CreateProfile { profile } | Command::ChangeProfile { profile } => {
@@ -186,7 +190,7 @@
 fn retire_profile(name: &str, rows: &RowSet) -> Result<Draft, CommandError> {
     let item = keys::profile(name);
     let before = stored_profile(name, rows)?;
-    for row in rows.below(keys::SERVICE) {
+    for row in rows.with_prefix(keys::SERVICE) {
         let service: Versioned<Service> = decode(row)?;
         if service.value.profile == name {
             return Err(CommandError::InUse {
@@ -220,7 +224,7 @@
     if before.as_ref().is_some_and(|old| old.kind != service.kind) {
         return Err(CommandError::Invalid {
             field: "kind".to_owned(),
-            fix: "a service keeps its kind; use another name".to_owned(),
+            fix: "the kind of a service cannot be changed; use another name".to_owned(),
         });
     }
     let value = Versioned {
--- a/components/control/src/orders.rs
+++ b/components/control/src/orders.rs
@@ -1,8 +1,8 @@
 //! Orders to targets.
 //!
-//! An order is planned under the version of the lease row of the target's service and under
-//! the version of the order row, so that a holder that lost its lease, or two authors at once,
-//! cannot both write one.
+//! An order is committed with checks on the versions of the order row and of the lease row of the
+//! target's service. A planner that has lost its lease therefore cannot write an order, and of two
+//! authors that write at the same time only one succeeds.
 
 use store::Put;
 use types::ChangeBody;
@@ -31,18 +31,18 @@
 pub struct PlannedOrder {
     /// Lease as last written by its holder.
     pub held: HeldLease,
-    /// Target concerned.
+    /// Target to order.
     pub target: TargetName,
-    /// What it has to do.
+    /// Kind of the order with its parameters.
     pub kind: OrderKind,
-    /// Revision of an outstanding order that this one supersedes.
+    /// Revision of the outstanding order that this one replaces; absent if none may be replaced.
     pub supersedes: Option<Revision>,
 }
 
 impl Intent for PlannedOrder {
     type Error = CommandError;
 
-    fn contested(&self) -> Option<(String, serde_json::Value)> {
+    fn conflict_item(&self) -> Option<(String, serde_json::Value)> {
         let wanted = serde_json::to_value(&self.kind).unwrap_or_default();
         Some((keys::order(&self.target), wanted))
     }
@@ -69,17 +69,17 @@
     }
 }
 
-/// A planner's decision to change nothing, recorded with its reason.
+/// A planner's decision to keep all roles, recorded in the log with its reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlanKept {
-    /// Lease of the service planned for.
+    /// Lease of the service, as last written by its holder.
     pub held: HeldLease,
 }
 
 impl Intent for PlanKept {
     type Error = CommandError;
 
-    fn contested(&self) -> Option<(String, serde_json::Value)> {
+    fn conflict_item(&self) -> Option<(String, serde_json::Value)> {
         None
     }
 
@@ -102,7 +102,8 @@
     }
 }
 
-/// State of a target after an order; entries apply it as soon as they see the order.
+/// State of a target after an order. It applies as soon as the order is written, before the target
+/// executes it.
 #[must_use]
 pub fn state_after(kind: &OrderKind, state: TargetState) -> TargetState {
     match kind {
@@ -117,16 +118,18 @@
     }
 }
 
-/// What an operator's and a planner's order have in common.
+/// Order by an operator or a planner.
 pub(crate) struct OrderDraft<'a> {
     pub(crate) target: &'a str,
     pub(crate) kind: &'a OrderKind,
     pub(crate) supersedes: Option<Revision>,
+    /// Lease of the planner; `None` for an operator's order.
     pub(crate) held: Option<&'a HeldLease>,
 }
 
 impl OrderDraft<'_> {
-    /// Keys of the rows needed; the lease is known once the target's row is read.
+    /// Keys of the rows needed. The lease row is included once the target row is read, which names
+    /// the service.
     pub(crate) fn rows_needed(target: &str, rows: &RowSet) -> Vec<String> {
         let target_key = keys::target(target);
         let stored: Option<Versioned<Target>> = rows.get(&target_key).ok().flatten();
@@ -182,6 +185,7 @@
         })
     }
 
+    /// Fails if an order is outstanding that this one does not supersede.
     fn check_outstanding(
         &self,
         target: &Target,
@@ -204,6 +208,7 @@
         ))
     }
 
+    /// Write of the target row, if the order changes the target's state.
     fn state_put(&self, key: String, mut target: Target, revision: Revision) -> Option<Put> {
         let state = state_after(self.kind, target.state);
         if state == target.state {
@@ -220,33 +225,33 @@
     }
 }
 
-/// Whether an order makes sense for a target in its present state.
+/// Fails if an order is not possible for a target in its present state.
 fn check_kind(kind: &OrderKind, target: &Target, key: &str) -> Result<(), CommandError> {
     let fix = match (kind, target.state) {
         (_, TargetState::Withdrawn) => "the target was withdrawn; register a new one",
-        (OrderKind::Resume, TargetState::Active) => "the target accepts work already",
-        (OrderKind::Drain, TargetState::Draining) => "the target is draining already",
-        (OrderKind::Replace, TargetState::Replacing) => "the target is being replaced already",
+        (OrderKind::Resume, TargetState::Active) => "the target is already active",
+        (OrderKind::Drain, TargetState::Draining) => "the target is already draining",
+        (OrderKind::Replace, TargetState::Replacing) => "the target is already being replaced",
         (kind, _) if kind.concerns_engine() && target.kind == ServiceKind::Plain => {
             "a plain service has no models, adapters or roles"
         }
         (OrderKind::ChangeRole { role }, _) if *role == target.role => {
-            "the target has this role already"
+            "the target already has this role"
         }
         (OrderKind::LoadModel { model, version }, _) if model.is_empty() || version.is_empty() => {
-            "name a model and a version"
+            "specify a model and a version"
         }
         (OrderKind::LoadAdapter { adapter } | OrderKind::UnloadAdapter { adapter }, _)
             if adapter.is_empty() =>
         {
-            "name an adapter"
+            "specify an adapter"
         }
         _ => return Ok(()),
     };
     Err(refused(key, fix.to_owned()))
 }
 
-/// Fails unless the lease row still names this holder.
+/// Fails unless the lease row still has this holder and fencing number.
 fn check_held(held: &HeldLease, rows: &RowSet) -> Result<(), CommandError> {
     let key = keys::lease(&held.scope);
     let row: Option<LeaseRow> = rows.get(&key)?;
@@ -255,7 +260,7 @@
     }
     Err(refused(
         &key,
-        "the lease was lost; plan again after it is held".to_owned(),
+        "the lease was lost; plan again after acquiring it".to_owned(),
     ))
 }
 
@@ -266,7 +271,7 @@
     }
 }
 
-/// Whether a name may be part of a row key.
+/// Fails if a name may not be part of a row key.
 pub(crate) fn check_name(field: &str, name: &str) -> Result<(), CommandError> {
     if is_name(name) {
         return Ok(());
--- a/components/control/src/peers.rs
+++ b/components/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! Changes and snapshots that entries exchange while the table does not answer.
+//! Log records and snapshots that entries exchange while the table is unavailable.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -10,19 +10,19 @@
 use crate::rows::encode;
 use crate::snapshot::Snapshot;
 
-/// Most bytes of records in one answer; well below the 1 MiB that a frame allows.
-const ANSWER_BYTES: usize = 512 << 10;
-/// Most parts of a snapshot: 512 MiB, far above any fleet.
+/// Most bytes of records in one answer; a frame is limited to 1 MiB.
+const MAX_ANSWER_BYTES: usize = 512 << 10;
+/// Most parts of a snapshot, which is 512 MiB; no expected fleet needs that much.
 const MAX_PARTS: u32 = 1024;
-/// Most snapshots in transfer at once.
+/// Most snapshot transfers in progress at once.
 const MAX_TRANSFERS: usize = 4;
 
-/// Answer to a peer; `wire::ToPeer` has a message for each variant.
+/// Answer to a peer's request for changes; `wire::ToPeer` has a message for each variant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerAnswer {
-    /// Log records in order.
+    /// Log records in order of revision.
     Changes {
-        /// Revision in force at the sender.
+        /// Revision that the sender has applied.
         head: Revision,
         /// JSON of each `Change`.
         records: Vec<String>,
@@ -31,7 +31,7 @@
     Snapshot {
         /// Revision of the snapshot.
         head: Revision,
-        /// Position of this part, from 0.
+        /// Index of this part, from 0.
         part: u32,
         /// Number of parts.
         parts: u32,
@@ -41,7 +41,7 @@
 }
 
 impl PeerAnswer {
-    /// Revision in force at the sender.
+    /// Revision that the sender has applied, or that its snapshot has.
     #[must_use]
     pub fn head(&self) -> Revision {
         match self {
@@ -49,20 +49,20 @@
         }
     }
 
-    /// Decodes the records and leaves the rest.
+    /// Decodes the records and takes them out of the answer.
     pub(crate) fn decode(mut self) -> Result<(Self, Vec<Change>), String> {
         let (Self::Changes { records, .. } | Self::Snapshot { records, .. }) = &mut self;
         let changes = std::mem::take(records)
             .iter()
             .map(|record| serde_json::from_str(record))
             .collect::<Result<Vec<Change>, _>>()
-            .map_err(|error| format!("record from a peer is not understood: {error}"))?;
+            .map_err(|error| format!("record from a peer cannot be decoded: {error}"))?;
         Ok((self, changes))
     }
 }
 
-/// Answers to a peer that has `after`: the records that it lacks, as far as they are still
-/// known here, or the whole snapshot.
+/// Answers to a peer that has applied the revision `after`: the records that it lacks, if `recent`
+/// still holds them, otherwise the complete snapshot.
 pub(crate) fn answers(
     snapshot: &Snapshot,
     recent: &VecDeque<Change>,
@@ -89,12 +89,13 @@
         .collect()
 }
 
-/// Splits records by size; there is at least one part.
+/// Encodes records and splits them into at least one part of up to `MAX_ANSWER_BYTES` each; a
+/// larger record is a part of its own.
 fn parts<'a>(changes: impl Iterator<Item = &'a Change>) -> Vec<Vec<String>> {
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
     for record in changes.map(encode) {
-        if bytes > 0 && bytes + record.len() > ANSWER_BYTES {
+        if bytes > 0 && bytes + record.len() > MAX_ANSWER_BYTES {
             parts.push(Vec::new());
             bytes = 0;
         }
@@ -106,7 +107,7 @@
     parts
 }
 
-/// Snapshots of which some parts have arrived.
+/// Snapshots that are being received in parts, by peer.
 #[derive(Debug, Default)]
 pub(crate) struct PeerSnapshots {
     transfers: BTreeMap<Incarnation, Transfer>,
@@ -120,7 +121,8 @@
 }
 
 impl PeerSnapshots {
-    /// Adds a part; the snapshot once it is whole. A part out of order ends the transfer.
+    /// Adds a part and returns the snapshot once it is complete. A part out of order aborts the
+    /// transfer.
     pub(crate) fn add(
         &mut self,
         peer: Incarnation,
@@ -152,16 +154,17 @@
         if part + 1 < parts {
             return None;
         }
-        let whole = self.transfers.remove(&peer)?;
-        Some(Snapshot::from_records(whole.head, &whole.records))
+        let complete = self.transfers.remove(&peer)?;
+        Some(Snapshot::from_records(complete.head, &complete.records))
     }
 
-    /// Forgets transfers that would not be newer than the snapshot in force.
-    pub(crate) fn drop_up_to(&mut self, revision: Revision) {
+    /// Aborts transfers of snapshots that are not newer than `revision`.
+    pub(crate) fn abort_up_to(&mut self, revision: Revision) {
         self.transfers
             .retain(|_, transfer| transfer.head > revision);
     }
 
+    /// Removes the transfer of this peer, and another one if the limit is reached.
     fn make_room(&mut self, peer: Incarnation) {
         self.transfers.remove(&peer);
         if self.transfers.len() >= MAX_TRANSFERS {
--- a/components/control/src/plan.rs
+++ b/components/control/src/plan.rs
@@ -1,7 +1,7 @@
-//! Plans of configuration changes as conditional transactions.
+//! Plans configuration changes as conditional transactions.
 //!
-//! Every change is one transaction with checks on `head` and on each row that the plan relied
-//! on; it writes the next `head`, the rows, and a log record that is also the proof row.
+//! Each change is one transaction. It checks the versions of `head` and of each row that the plan
+//! depends on, and writes the next `head`, the rows, and a log record that is also the proof row.
 
 use std::time::Duration;
 
@@ -21,66 +21,66 @@
 use crate::rows::RowsNeeded;
 use crate::rows::encode;
 
-/// Who makes a change, when and why.
+/// Author, reason, time and token of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Meta {
-    /// Operator, planner or agent.
+    /// Name of the operator, planner or agent.
     pub by: String,
-    /// Why, for people.
+    /// Reason, recorded in the audit trail.
     pub reason: String,
     /// Wall-clock time since the Unix epoch.
     pub at_ms: Duration,
-    /// Unique to the write.
+    /// Unique number by which the author finds the change in the log.
     pub token: u128,
 }
 
-/// A change that somebody wants to make.
+/// A change to be planned, whatever its author.
 pub trait Intent {
-    /// Why the change may be impossible.
+    /// Error if the change is not possible.
     type Error: From<CommandError>;
 
-    /// Row whose change by somebody else in the meantime is a conflict, and the value wanted
-    /// for it. Without one, the plan is made again until it can be committed.
-    fn contested(&self) -> Option<(String, serde_json::Value)>;
+    /// Key of the row whose concurrent change is a conflict, and the value that the author wants.
+    /// If `None`, the change is planned again until it can be committed.
+    fn conflict_item(&self) -> Option<(String, serde_json::Value)>;
 
-    /// Rows that the draft needs, given those that were read; asked again until it names no
-    /// new ones.
+    /// Rows that [`Intent::draft`] needs, given those already read. Called again until all of them
+    /// are read.
     fn rows_needed(&self, rows: &RowSet) -> RowsNeeded;
 
-    /// What to write; `None` if nothing is left to do.
+    /// Rows to check and write; `None` if the table already has the change.
     ///
     /// # Errors
     ///
-    /// Says why the change is impossible in the present state.
+    /// The reason why the change is not possible in the state that the rows show.
     fn draft(&self, rows: &RowSet, revision: Revision) -> Result<Option<Draft>, Self::Error>;
 }
 
-/// Part of a change that depends on its kind.
+/// Part of a transaction that depends on the kind of change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Draft {
-    /// What the log says.
+    /// Content of the log record.
     pub body: ChangeBody,
-    /// Conditions beside the one on `head`: one for each row read by its key that the draft
-    /// relies on.
+    /// Checks in addition to the one on `head`: one for each row read by key that the draft depends
+    /// on.
     pub checks: Vec<Check>,
-    /// Writes beside `head` and the log record.
+    /// Writes in addition to `head` and the log record.
     pub puts: Vec<Put>,
 }
 
-/// A change ready to be committed.
+/// A change with the transaction that commits it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Planned {
-    /// Record that the log gets.
+    /// Log record that the transaction writes.
     pub change: Change,
     /// Transaction to commit.
     pub transaction: Transaction,
 }
 
-/// Plans a change from the rows that it needs; `None` if nothing is left to do.
+/// Plans a change from the rows that it needs; `None` if the table already has it.
 ///
 /// # Errors
 ///
-/// Those of the intent; `Refused` for a row that is not understood.
+/// Those of the intent; `Refused` for a row that cannot be decoded.
 pub fn plan_intent<I: Intent>(
     intent: &I,
     rows: &RowSet,
@@ -94,11 +94,11 @@
     let Some(draft) = intent.draft(rows, revision)? else {
         return Ok(None);
     };
-    Ok(Some(seal(draft, rows, revision, meta)))
+    Ok(Some(complete(draft, rows, revision, meta)))
 }
 
 /// Adds `head` and the log record to a draft.
-fn seal(draft: Draft, rows: &RowSet, revision: Revision, meta: &Meta) -> Planned {
+fn complete(draft: Draft, rows: &RowSet, revision: Revision, meta: &Meta) -> Planned {
     let change = Change {
         revision,
         at_ms: meta.at_ms,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Write of a row's value.
+/// Write of a value as JSON.
 pub(crate) fn put<T: Serialize>(key: String, value: &T) -> Put {
     Put {
         key,
@@ -136,7 +136,7 @@
 impl From<RowError> for CommandError {
     fn from(error: RowError) -> Self {
         Self::Refused {
-            fix: format!("{error}; update the entries or repair the row"),
+            fix: format!("{error}; upgrade the entries or correct the row"),
             item: error.key,
         }
     }
--- a/components/control/src/rendezvous.rs
+++ b/components/control/src/rendezvous.rs
@@ -1,12 +1,13 @@
-//! Rendezvous hashing: every process that knows the same members ranks them in the same order
-//! for a key, and a member that comes or goes changes the best few of a key only by itself.
+//! Rendezvous hashing: processes that know the same members rank them in the same order for a key,
+//! and a member that joins or leaves does not change the order of the others.
 
 use std::net::SocketAddr;
 
-/// Entries that compete for a lease; the row outlives two failures at once without a wait.
+/// Entries that compete for a lease. With three, a lease is taken over without waiting for an
+/// observer even if two of them fail at once.
 pub const LEASE_CANDIDATES: usize = 3;
 
-/// Digest of a name, equal on every host and in every version.
+/// Digest of a name; the same on every host and in every version.
 #[must_use]
 pub fn digest(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
@@ -15,27 +16,27 @@
     u64::from_le_bytes(first)
 }
 
-/// Rank of a member for a key, by their digests; the highest is the best.
+/// Score of a member for a key, both given as digests; the member with the highest score is first.
 #[must_use]
 pub fn score(key: u64, member: u64) -> u64 {
-    mix(key ^ mix(member))
+    finalize(key ^ finalize(member))
 }
 
-/// Whether this entry is one of those that compete for the lease of a scope. `peers` holds the
+/// Whether the entry with the address `own` competes for the lease of a scope. `peers` are the
 /// addresses of the other entries.
 #[must_use]
 pub fn is_lease_candidate(scope: &str, own: SocketAddr, peers: &[SocketAddr]) -> bool {
     let key = digest(scope);
     let rank = |address: &SocketAddr| (score(key, digest(&address.to_string())), *address);
-    let mine = rank(&own);
-    let better = peers
+    let own_rank = rank(&own);
+    let higher = peers
         .iter()
-        .filter(|peer| **peer != own && rank(peer) > mine);
-    better.count() < LEASE_CANDIDATES
+        .filter(|peer| **peer != own && rank(peer) > own_rank);
+    higher.count() < LEASE_CANDIDATES
 }
 
-/// Finalizer of `MurmurHash3`: every bit of the input changes half of the output.
-fn mix(value: u64) -> u64 {
+/// 64-bit finalizer of `MurmurHash3`: each input bit changes half of the output bits on average.
+fn finalize(value: u64) -> u64 {
     let value = (value ^ (value >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let value = (value ^ (value >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     value ^ (value >> 33)
--- a/components/control/src/rows.rs
+++ b/components/control/src/rows.rs
@@ -1,4 +1,4 @@
-//! Values of the table's rows, and the rows that a plan is made from.
+//! Values of the table's rows, and the set of rows that a plan is made from.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,33 +23,33 @@
     pub revision: Revision,
 }
 
-/// An item of configuration with the revision of the change that wrote it. Value of the rows
-/// of profiles, services and targets; an order names its revision itself.
+/// Configuration item with the revision of the change that wrote it. This is the value of the rows
+/// of profiles, services and targets; an order has its own field for the revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versioned<T> {
     /// Revision of the change that wrote the item.
     pub revision: Revision,
-    /// The item.
+    /// Profile, service or target.
     pub value: T,
 }
 
-/// Value of a lease row. The row is never deleted, so that `fencing` never repeats.
+/// Value of a lease row. The row is never deleted, so that fencing numbers are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Run of the entry that holds the lease; 0 after a release.
+    /// Incarnation of the entry that holds the lease; 0 after a release.
     pub holder: Incarnation,
-    /// Grows by one with every new holder.
+    /// Incremented with each new holder.
     pub fencing: FencingNumber,
-    /// Grows with every renewal, so that each write of the row is unique.
+    /// Incremented with each write, so that no two writes of the row are equal.
     pub renewal: u64,
 }
 
-/// A row whose value this version does not understand.
+/// Error for a row whose value this version cannot decode.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowError {
     /// Key of the row.
     pub key: String,
-    /// What the decoder said.
+    /// Message of the JSON decoder.
     pub detail: String,
 }
 
@@ -57,7 +57,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "row {} is not understood by this version: {}",
+            "row {} cannot be decoded by this version: {}",
             self.key, self.detail
         )
     }
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 ///
-/// Names the row and the field.
+/// The row key and the message of the decoder, if the value cannot be decoded.
 pub fn decode<T: DeserializeOwned>(row: &Row) -> Result<T, RowError> {
     serde_json::from_str(&row.value).map_err(|error| RowError {
         key: row.key.clone(),
@@ -87,19 +87,19 @@
 pub struct RowsNeeded {
     /// Single rows.
     pub keys: Vec<String>,
-    /// All rows whose key starts with one of these.
+    /// Prefixes; all rows whose keys start with one of them are read.
     pub prefixes: Vec<String>,
 }
 
 impl RowsNeeded {
-    /// Nothing is left to read.
+    /// Whether no row has to be read.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty() && self.prefixes.is_empty()
     }
 }
 
-/// Rows as read, including the knowledge of which rows are absent.
+/// Rows as read, with the keys and prefixes that were read, so that absent rows are known too.
 #[derive(Debug, Clone, Default)]
 pub struct RowSet {
     rows: BTreeMap<String, Row>,
@@ -108,29 +108,29 @@
 }
 
 impl RowSet {
-    /// Adds the answer to a read of `keys`.
+    /// Adds the result of a read of `keys`.
     pub fn add_read(&mut self, keys: &[String], rows: Vec<Row>) {
         self.keys.extend(keys.iter().cloned());
         self.add_rows(rows);
     }
 
-    /// Adds the answer to a scan of all rows below `prefix`.
+    /// Adds the result of a scan of all rows with `prefix`.
     pub fn add_scan(&mut self, prefix: &str, rows: Vec<Row>) {
         self.prefixes.insert(prefix.to_owned());
         self.add_rows(rows);
     }
 
-    /// Keys to read again after a conflict. Empty if rows were scanned: their changes are not
-    /// among the checks of a transaction, so `head` must be read before them again.
+    /// Keys to read again after a conflict. Empty if rows were scanned: a transaction has no checks
+    /// on scanned rows, so `head` must be read before them again.
     #[must_use]
-    pub fn keys_to_repeat(&self) -> Vec<String> {
+    pub fn keys_to_reread(&self) -> Vec<String> {
         if self.prefixes.is_empty() {
             return self.keys.iter().cloned().collect();
         }
         Vec::new()
     }
 
-    /// Leaves of `needed` what has not been read.
+    /// Part of `needed` that has not been read.
     #[must_use]
     pub fn missing(&self, needed: RowsNeeded) -> RowsNeeded {
         RowsNeeded {
@@ -151,13 +151,13 @@
     ///
     /// # Errors
     ///
-    /// Names the row and the field.
+    /// The row key and the message of the decoder, if the value cannot be decoded.
     pub fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, RowError> {
         self.rows.get(key).map(decode).transpose()
     }
 
-    /// Rows whose key starts with `prefix`.
-    pub fn below<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Row> {
+    /// Rows whose keys start with `prefix`.
+    pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Row> {
         self.rows
             .range(prefix.to_owned()..)
             .map(|(_, row)| row)
@@ -170,7 +170,7 @@
         self.rows.get(key).map_or(0, |row| row.version)
     }
 
-    /// Condition that a row is as it was read.
+    /// Check that a row still has the version that was read.
     #[must_use]
     pub fn check(&self, key: &str) -> Check {
         Check {
@@ -179,20 +179,20 @@
         }
     }
 
-    /// Revision of the item in a row, 0 if the row is absent.
+    /// Revision of the item in a row; 0 if the row is absent or cannot be decoded.
     #[must_use]
     pub fn revision(&self, key: &str) -> Revision {
         #[derive(Deserialize)]
-        struct AnyItem {
+        struct ItemRevision {
             revision: Revision,
         }
-        self.get::<AnyItem>(key)
+        self.get::<ItemRevision>(key)
             .ok()
             .flatten()
             .map_or(0, |item| item.revision)
     }
 
-    /// Author of a change, as far as its log record was read.
+    /// Author of a change, if its log record was read.
     #[must_use]
     pub fn author(&self, revision: Revision) -> String {
         self.get::<types::Change>(&keys::log(revision))
--- a/components/control/src/snapshot.rs
+++ b/components/control/src/snapshot.rs
@@ -23,13 +23,13 @@
 use crate::rows::Versioned;
 use crate::rows::decode;
 
-/// Author of the records that stand for a snapshot.
+/// Author in the records that a snapshot is sent as.
 const SNAPSHOT_AUTHOR: &str = "snapshot";
 
-/// Items of one kind, shared between snapshots that do not differ in them.
+/// Items of one kind by name. Snapshots with equal items share them.
 type Items<T> = Rc<BTreeMap<String, Rc<Versioned<T>>>>;
 
-/// Orders name their revision themselves.
+/// Latest orders by target; an order has its own field for the revision.
 type Orders = Rc<BTreeMap<TargetName, Rc<Order>>>;
 
 /// Profiles, services, targets and orders at one revision.
@@ -42,7 +42,7 @@
     orders: Orders,
 }
 
-/// A log record that does not follow on the snapshot.
+/// Error for a log record that is not the next one after the snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GapError {
     /// Revision of the snapshot.
@@ -55,7 +55,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "log record {} does not follow on revision {}; read the log again",
+            "log record {} is not the next after revision {}; read the log again",
             self.record, self.applied
         )
     }
@@ -64,7 +64,7 @@
 impl std::error::Error for GapError {}
 
 impl Snapshot {
-    /// Revision of the latest change that is part of the snapshot.
+    /// Revision of the latest change in the snapshot.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
@@ -82,7 +82,7 @@
         self.services.get(name)
     }
 
-    /// The profile that a service picked.
+    /// Profile that is assigned to a service.
     #[must_use]
     pub fn profile_of(&self, service: &str) -> Option<&Rc<Versioned<Profile>>> {
         self.profile(&self.service(service)?.value.profile)
@@ -132,11 +132,11 @@
                 record: change.revision,
             });
         }
-        self.fold(change);
+        self.apply_unchecked(change);
         Ok(())
     }
 
-    /// Records that rebuild the snapshot with `from_records`, in order of revision.
+    /// Records in order of revision from which [`Snapshot::from_records`] rebuilds the snapshot.
     #[must_use]
     pub fn records(&self) -> Vec<Change> {
         let profiles = self.profiles.values().map(|item| {
@@ -159,7 +159,7 @@
             let before = None;
             (item.revision, ChangeBody::Target { before, after })
         });
-        // The sort is stable: an order precedes the target whose state it changed.
+        // The sort is stable, so an order stays before the target whose state it changed.
         let mut bodies: Vec<_> = profiles
             .chain(services)
             .chain(orders)
@@ -179,35 +179,36 @@
             .collect()
     }
 
-    /// Rebuilds a snapshot from the records of another one.
+    /// Rebuilds a snapshot from the result of [`Snapshot::records`].
     #[must_use]
     pub fn from_records(revision: Revision, records: &[Change]) -> Self {
         let mut snapshot = Self::default();
         for record in records {
-            snapshot.fold(record);
+            snapshot.apply_unchecked(record);
         }
         snapshot.revision = revision;
         snapshot
     }
 
-    /// An empty snapshot at the revision of `head`, to be filled from rows that may be newer.
-    pub(crate) fn at(revision: Revision) -> Self {
+    /// An empty snapshot at the revision of `head`, to be filled with rows that may be newer.
+    pub(crate) fn empty_at(revision: Revision) -> Self {
         Self {
             revision,
             ..Self::default()
         }
     }
 
-    /// Adds a row to a snapshot that is being read.
+    /// Adds a row to a snapshot that is being read, and returns the revision of its item. Returns 0
+    /// for a row that is not part of a snapshot.
     pub(crate) fn add_row(&mut self, row: &Row) -> Result<Revision, RowError> {
         if let Some(name) = row.key.strip_prefix(keys::PROFILE) {
-            return insert(&mut self.profiles, name, row);
+            return insert_row(&mut self.profiles, name, row);
         }
         if let Some(name) = row.key.strip_prefix(keys::SERVICE) {
-            return insert(&mut self.services, name, row);
+            return insert_row(&mut self.services, name, row);
         }
         if let Some(name) = row.key.strip_prefix(keys::TARGET) {
-            return insert(&mut self.targets, name, row);
+            return insert_row(&mut self.targets, name, row);
         }
         if let Some(name) = row.key.strip_prefix(keys::ORDER) {
             let order: Order = decode(row)?;
@@ -218,30 +219,30 @@
         Ok(0)
     }
 
-    /// Puts a record in force. Doing it again for records in order changes nothing, so a
-    /// snapshot read while changes went on is completed by the records of that time.
-    fn fold(&mut self, change: &Change) {
+    /// Applies a record without a check of its revision. Applying records again in order gives the
+    /// same result, so a snapshot that was read during changes is completed by their records.
+    fn apply_unchecked(&mut self, change: &Change) {
         let revision = change.revision;
         match &change.body {
             ChangeBody::Profile { after, .. } => {
-                set(&mut self.profiles, &after.name, revision, after);
+                insert_item(&mut self.profiles, &after.name, revision, after);
             }
             ChangeBody::ProfileRetired { name, .. } => {
                 Rc::make_mut(&mut self.profiles).remove(name);
             }
             ChangeBody::Service { after, .. } => {
-                set(&mut self.services, &after.name, revision, after);
+                insert_item(&mut self.services, &after.name, revision, after);
             }
             ChangeBody::Target { after, .. } => {
-                set(&mut self.targets, &after.name, revision, after);
+                insert_item(&mut self.targets, &after.name, revision, after);
             }
-            ChangeBody::Order { after, .. } => self.fold_order(revision, after),
+            ChangeBody::Order { after, .. } => self.apply_order(revision, after),
             ChangeBody::PlanKept { .. } => {}
         }
         self.revision = revision;
     }
 
-    fn fold_order(&mut self, revision: Revision, order: &Order) {
+    fn apply_order(&mut self, revision: Revision, order: &Order) {
         Rc::make_mut(&mut self.orders).insert(order.target.clone(), Rc::new(order.clone()));
         let Some(stored) = self.targets.get(&order.target) else {
             return;
@@ -250,17 +251,17 @@
         if state != stored.value.state {
             let mut target = stored.value.clone();
             target.state = state;
-            set(&mut self.targets, &order.target, revision, &target);
+            insert_item(&mut self.targets, &order.target, revision, &target);
         }
     }
 }
 
-fn set<T: Clone>(items: &mut Items<T>, name: &str, revision: Revision, value: &T) {
+fn insert_item<T: Clone>(items: &mut Items<T>, name: &str, revision: Revision, value: &T) {
     let value = value.clone();
     Rc::make_mut(items).insert(name.to_owned(), Rc::new(Versioned { revision, value }));
 }
 
-fn insert<T: Clone + serde::de::DeserializeOwned>(
+fn insert_row<T: Clone + serde::de::DeserializeOwned>(
     items: &mut Items<T>,
     name: &str,
     row: &Row,
--- a/components/control/src/targets.rs
+++ b/components/control/src/targets.rs
@@ -1,7 +1,7 @@
-//! Registration of targets and the updates that their agents write.
+//! Registration of targets, and the updates that their agents write.
 //!
-//! Each update is a change in the log that every entry reads, so an agent writes only when it
-//! registers, has executed an order, or gives its row back.
+//! Each update is a log record that every entry reads, so an agent writes only when it registers,
+//! has executed an order, or releases its row.
 
 use std::fmt;
 
@@ -27,54 +27,54 @@
 use crate::rows::RowsNeeded;
 use crate::rows::Versioned;
 
-/// What an agent writes to its target's row.
+/// Update of a target row by its agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TargetUpdate {
-    /// A new run of the agent takes the row. `state` and `applied` are kept from the row, if
-    /// there is one.
+    /// A new run of the agent takes over the row. `state` and `applied` keep the values of an
+    /// existing row.
     Register(Box<Target>),
     /// An order was executed.
     Executed {
-        /// Target concerned.
+        /// Target that is updated.
         target: TargetName,
-        /// Run of the agent.
+        /// Incarnation of the agent.
         incarnation: Incarnation,
-        /// Number of the order.
+        /// Number of the executed order.
         number: OrderNumber,
-        /// Role now in force.
+        /// Role after the order.
         role: Role,
-        /// Model, adapters and version now in force.
+        /// Model, version and adapters after the order.
         loaded: Loaded,
     },
-    /// The agent stops and gives its row back; the row's incarnation becomes 0.
+    /// The agent stops and releases its row; the row's incarnation becomes 0.
     Release {
-        /// Target concerned.
+        /// Target that is updated.
         target: TargetName,
-        /// Run of the agent.
+        /// Incarnation of the agent.
         incarnation: Incarnation,
     },
 }
 
-/// Why an agent's update is impossible.
+/// Reason why an agent's update is not possible.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TargetError {
-    /// Another run of the agent holds the row; this one must stop.
+    /// Another run of the agent holds the row, or none does; this run must stop.
     Superseded {
-        /// Target concerned.
+        /// Target whose update failed.
         target: TargetName,
-        /// Run that holds the row; 0 if none does.
+        /// Incarnation that holds the row; 0 if none does.
         incarnation: Incarnation,
     },
-    /// The target left the fleet for good; this agent must stop.
+    /// The target was withdrawn permanently; this agent must stop.
     Withdrawn {
-        /// Target concerned.
+        /// Target whose update failed.
         target: TargetName,
     },
-    /// The order was never written.
+    /// The table has no order with this number.
     UnknownOrder {
-        /// Target concerned.
+        /// Target whose update failed.
         target: TargetName,
-        /// Number of the order.
+        /// Number of the order that the agent reported.
         number: OrderNumber,
     },
     /// Any other failure.
@@ -89,7 +89,7 @@
                 incarnation,
             } => write!(
                 f,
-                "target/{target} is held by run {incarnation:016x} of its agent; stop this one"
+                "target/{target} is held by run {incarnation:016x} of its agent; stop this run"
             ),
             Self::Withdrawn { target } => write!(
                 f,
@@ -113,7 +113,7 @@
 }
 
 impl TargetUpdate {
-    /// Name of the target concerned.
+    /// Name of the target that is updated.
     #[must_use]
     pub fn target(&self) -> &TargetName {
         match self {
@@ -126,7 +126,7 @@
 impl Intent for TargetUpdate {
     type Error = TargetError;
 
-    fn contested(&self) -> Option<(String, serde_json::Value)> {
+    fn conflict_item(&self) -> Option<(String, serde_json::Value)> {
         None
     }
 
@@ -187,8 +187,8 @@
     }
 }
 
-/// The row after a registration. A new host ends a replacement: it takes work, and the order
-/// to replace counts as executed.
+/// The row after a registration. Registration from another host completes a replacement: the target
+/// becomes active, and the order to replace it counts as executed.
 fn register(
     target: &Target,
     before: Option<&Target>,
@@ -209,7 +209,7 @@
     if before.kind != target.kind {
         return Err(TargetError::Command(CommandError::Invalid {
             field: "kind".to_owned(),
-            fix: "a target keeps its kind; use another name".to_owned(),
+            fix: "the kind of a target cannot be changed; use another name".to_owned(),
         }));
     }
     let mut after = Target {
@@ -226,7 +226,7 @@
     Ok(after)
 }
 
-/// The row after a release; unchanged if another run has taken it already.
+/// The row after a release; `None` if another run holds the row.
 fn release(incarnation: Incarnation, before: Option<&Target>) -> Option<Target> {
     let held = before.filter(|target| target.incarnation == incarnation)?;
     Some(Target {
@@ -235,6 +235,7 @@
     })
 }
 
+/// The row, if this run of the agent holds it.
 fn held_row<'a>(
     name: &str,
     incarnation: Incarnation,
--- a/components/control/tests/commands.rs
+++ b/components/control/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of operators: rules, races and lost replies.
+//! Operators' commands: preconditions, concurrent changes and lost replies of the table.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::task::Waker;
 
 use common::Fault;
-use common::World;
+use common::Fixture;
 use common::change;
 use common::create;
 use common::interleave;
@@ -29,14 +29,14 @@
 
 type Running<'a> = Pin<Box<dyn Future<Output = Result<CommandOutcome, CommandError>> + 'a>>;
 
-/// Executes commands at once, each by an operator on an entry of its own.
-fn race(
-    world: &World,
+/// Executes commands concurrently, each by its own operator on its own entry.
+fn run_concurrently(
+    fixture: &Fixture,
     requests: &[CommandRequest],
     choices: &[u8],
 ) -> Vec<Result<CommandOutcome, CommandError>> {
     let executors: Vec<Executor> = (0..requests.len() as u64)
-        .map(|seed| world.executor(seed))
+        .map(|seed| fixture.executor(seed))
         .collect();
     let operators: Vec<String> = (0..requests.len())
         .map(|n| format!("operator-{n}"))
@@ -53,7 +53,7 @@
 }
 
 /// Whether each outcome agrees with the log.
-fn outcomes_are_true(log: &[Change], outcomes: &[Result<CommandOutcome, CommandError>]) -> bool {
+fn outcomes_match_log(log: &[Change], outcomes: &[Result<CommandOutcome, CommandError>]) -> bool {
     outcomes.iter().enumerate().all(|(number, outcome)| {
         let by = format!("operator-{number}");
         let records: Vec<&Change> = log.iter().filter(|change| change.by == by).collect();
@@ -74,22 +74,22 @@
     })
 }
 
-/// Whether each change of the profile was made on the value that the change before it left.
+/// Whether each change of the profile was based on the value that the previous change wrote.
 fn no_update_is_lost(log: &[Change], name: &str) -> bool {
     let mut current: Option<Profile> = None;
     log.iter().all(|change| match &change.body {
         ChangeBody::Profile { before, after } if after.name == name => {
-            let seen = *before == current;
+            let is_current = *before == current;
             current = Some(after.clone());
-            seen
+            is_current
         }
         ChangeBody::ProfileRetired {
             before,
             name: retired,
         } if retired == name => {
-            let seen = Some(before) == current.as_ref();
+            let is_current = Some(before) == current.as_ref();
             current = None;
-            seen
+            is_current
         }
         _ => true,
     })
@@ -110,79 +110,80 @@
 }
 
 quickcheck! {
-    /// Guards against two winners of a race, none at all, and false reasons for losing.
-    fn exactly_one_racing_command_wins(racers: u8, choices: Vec<u8>) -> bool {
-        let world = World::new();
-        world.run(create("p", 1)).unwrap();
-        let requests: Vec<CommandRequest> = (0..u32::from(racers % 5) + 2)
+    /// Guards against concurrent changes of the same revision of which not exactly one is written,
+    /// and against conflicts that name another item, author or revision than the written one.
+    fn exactly_one_of_concurrent_commands_is_written(commands: u8, choices: Vec<u8>) -> bool {
+        let fixture = Fixture::new();
+        fixture.run(create("p", 1)).unwrap();
+        let requests: Vec<CommandRequest> = (0..u32::from(commands % 5) + 2)
             .map(|n| CommandRequest { if_revision: Some(1), ..request(change("p", 100 + n)) })
             .collect();
-        let outcomes = race(&world, &requests, &choices);
-        let winners: Vec<&CommandOutcome> = outcomes.iter().flatten().collect();
-        let losers_told = outcomes.iter().flatten_err().all(|error| matches!(
+        let outcomes = run_concurrently(&fixture, &requests, &choices);
+        let written: Vec<&CommandOutcome> = outcomes.iter().flatten().collect();
+        let conflicts_match = outcomes.iter().flatten_err().all(|error| matches!(
             error,
             CommandError::Conflict { item, revision: 2, by, difference }
-                if item == "profile/p" && *by == winners[0].change.by
+                if item == "profile/p" && *by == written[0].change.by
                     && difference.starts_with("queue_limit is")
         ));
-        winners.len() == 1 && losers_told && outcomes_are_true(&world.log(), &outcomes)
+        written.len() == 1 && conflicts_match && outcomes_match_log(&fixture.log(), &outcomes)
     }
 
-    /// Guards against a command that is planned again on a value that its operator has not
-    /// seen, after it lost a race.
+    /// Guards against a command that is planned again after a conflict, on a value that was written
+    /// after the command read the item.
     fn command_that_read_before_another_change_does_not_overwrite_it(polls: u8) -> bool {
-        let world = World::new();
-        world.run(create("p", 1)).unwrap();
-        let executor = world.executor(1);
+        let fixture = Fixture::new();
+        fixture.run(create("p", 1)).unwrap();
+        let executor = fixture.executor(1);
         let request = request(change("p", 2));
-        let mut late = Box::pin(executor.execute("late", &request));
-        let reads = world.table.counters().reads;
+        let mut execution = Box::pin(executor.execute("late", &request));
+        let reads = fixture.table.counters().reads;
         let mut cx = Context::from_waker(Waker::noop());
         for _ in 0..polls % 16 {
-            if late.as_mut().poll(&mut cx).is_ready() {
-                return world.head() == 2;
+            if execution.as_mut().poll(&mut cx).is_ready() {
+                return fixture.head() == 2;
             }
         }
-        // The first read is that of `head`, the second one that of the profile.
-        let has_seen = world.table.counters().reads >= reads + 2;
-        let has_written = world.head() == 2;
-        world.run(change("p", 3)).unwrap();
-        let outcome = smol::block_on(late);
+        // `head` is read first, then the profile.
+        let has_read = fixture.table.counters().reads >= reads + 2;
+        let has_written = fixture.head() == 2;
+        fixture.run(change("p", 3)).unwrap();
+        let outcome = smol::block_on(execution);
         let is_conflict = matches!(outcome, Err(CommandError::Conflict { revision: 2, .. }));
-        is_conflict == (has_seen && !has_written)
+        is_conflict == (has_read && !has_written)
     }
 
-    /// Guards against lost updates, broken references and untrue outcomes when any commands
-    /// race with any faults of the table.
-    fn racing_commands_with_faults_end_truthfully(
+    /// Guards against lost updates, dangling references and wrong outcomes when commands run
+    /// concurrently while requests to the table fail.
+    fn outcomes_of_concurrent_commands_match_the_log_despite_faults(
         commands: Vec<u8>,
         faults: Vec<Fault>,
         choices: Vec<u8>
     ) -> bool {
-        let world = World::with_targets(1);
-        world.run(create("q", 2)).unwrap();
+        let fixture = Fixture::with_targets(1);
+        fixture.run(create("q", 2)).unwrap();
         let requests: Vec<CommandRequest> = commands
             .iter()
             .take(6)
             .enumerate()
             .map(|(number, choice)| request(arbitrary_command(*choice, number)))
             .collect();
-        world.table.script(faults.iter().map(|fault| fault.0));
-        let outcomes = race(&world, &requests, &choices);
-        world.table.flush_late();
-        let log = world.log();
-        let end = world.at(world.head());
+        fixture.table.script(faults.iter().map(|fault| fault.0));
+        let outcomes = run_concurrently(&fixture, &requests, &choices);
+        fixture.table.flush_late();
+        let log = fixture.log();
+        let end = fixture.at(fixture.head());
         let references_hold = end
             .services()
             .all(|(_, service)| end.profile(&service.value.profile).is_some());
-        outcomes_are_true(&log, &outcomes)
+        outcomes_match_log(&log, &outcomes)
             && no_update_is_lost(&log, "p")
             && no_update_is_lost(&log, "q")
             && references_hold
     }
 }
 
-/// Errors of a list of results.
+/// Iterates over the errors of results.
 trait FlattenErr<'a, E: 'a> {
     fn flatten_err(self) -> impl Iterator<Item = &'a E>;
 }
@@ -193,50 +194,50 @@
     }
 }
 
-/// Guards against a dry run that writes, or that checks less than the command itself.
+/// Guards against a dry run that writes, or that checks less than the command without it.
 #[test]
 fn dry_run_checks_everything_and_writes_nothing() {
-    let world = World::new();
+    let fixture = Fixture::new();
     let dry = |command| CommandRequest {
         dry_run: true,
         ..request(command)
     };
-    let run = |request| smol::block_on(world.executor(1).execute("o", &request));
+    let run = |request| smol::block_on(fixture.executor(1).execute("o", &request));
     let outcome = run(dry(create("p", 1))).unwrap();
     assert!(outcome.dry_run && outcome.change.revision == 1);
-    assert_eq!(world.head(), 0);
-    world.run(create("p", 1)).unwrap();
+    assert_eq!(fixture.head(), 0);
+    fixture.run(create("p", 1)).unwrap();
     assert!(matches!(
         run(dry(create("p", 1))),
         Err(CommandError::Exists { .. })
     ));
 }
 
-/// Guards against a service that is left without a profile.
+/// Guards against a service whose profile does not exist.
 #[test]
 fn refuses_to_retire_profile_in_use() {
-    let world = World::with_targets(0);
-    let error = world.run(retire("p")).unwrap_err();
+    let fixture = Fixture::with_targets(0);
+    let error = fixture.run(retire("p")).unwrap_err();
     let in_use = CommandError::InUse {
         item: "profile/p".to_owned(),
         by: "service/s".to_owned(),
     };
     assert_eq!(error, in_use);
-    let error = world.run(set_service("s", "missing")).unwrap_err();
+    let error = fixture.run(set_service("s", "missing")).unwrap_err();
     assert!(matches!(error, CommandError::NotFound { .. }), "{error}");
 }
 
-/// Guards against a command that overwrites what its operator has not seen.
+/// Guards against a command that overwrites a change made after the expected revision.
 #[test]
 fn stale_revision_is_a_conflict_that_names_the_change() {
-    let world = World::new();
-    world.run(create("p", 1)).unwrap();
-    world.run(change("p", 2)).unwrap();
+    let fixture = Fixture::new();
+    fixture.run(create("p", 1)).unwrap();
+    fixture.run(change("p", 2)).unwrap();
     let stale = CommandRequest {
         if_revision: Some(1),
         ..request(change("p", 3))
     };
-    let error = smol::block_on(world.executor(1).execute("o", &stale)).unwrap_err();
+    let error = smol::block_on(fixture.executor(1).execute("o", &stale)).unwrap_err();
     let conflict = CommandError::Conflict {
         item: "profile/p".to_owned(),
         revision: 2,
@@ -246,66 +247,67 @@
     assert_eq!(error, conflict);
 }
 
-/// Guards against names that would be read as parts of other row keys.
+/// Guards against names from which the key of another row would be formed.
 #[test]
-fn refuses_names_that_are_no_part_of_a_key() {
-    let world = World::new();
+fn refuses_names_with_invalid_characters() {
+    let fixture = Fixture::new();
     for command in [create("a/b", 1), set_service("", "p"), retire("p/../q")] {
-        let error = world.run(command).unwrap_err();
+        let error = fixture.run(command).unwrap_err();
         assert!(matches!(error, CommandError::Invalid { .. }), "{error}");
     }
-    assert_eq!(world.head(), 0);
+    assert_eq!(fixture.head(), 0);
 }
 
-/// Guards against a second order before the first one was executed, which could leave the
-/// engine with a mixture of both.
+/// Guards against a second order before the first one was executed, after which the engine could
+/// have applied parts of both.
 #[test]
 fn outstanding_order_is_only_superseded_by_its_revision() {
-    let world = World::with_targets(1);
+    let fixture = Fixture::with_targets(1);
     let load = |version: &str| {
         let (model, version) = ("m".to_owned(), version.to_owned());
         order("t0", OrderKind::LoadModel { model, version })
     };
-    let first = world.run(load("1")).unwrap().change;
-    let error = world.run(load("2")).unwrap_err();
+    let first = fixture.run(load("1")).unwrap().change;
+    let error = fixture.run(load("2")).unwrap_err();
     assert!(matches!(error, CommandError::Refused { .. }), "{error}");
     let superseding = CommandRequest {
         if_revision: Some(first.revision),
         ..request(load("3"))
     };
-    let outcome = smol::block_on(world.executor(1).execute("o", &superseding)).unwrap();
+    let outcome = smol::block_on(fixture.executor(1).execute("o", &superseding)).unwrap();
     let ChangeBody::Order { before, after } = outcome.change.body else {
-        panic!("an order is recorded as an order");
+        panic!("the log record of an order has another kind");
     };
     assert_eq!((before.unwrap().number, after.number), (1, 2));
-    world.update(&common::executed("t0", 1, 2)).unwrap();
-    world.run(load("4")).unwrap();
+    fixture.update(&common::executed("t0", 1, 2)).unwrap();
+    fixture.run(load("4")).unwrap();
 }
 
-/// Guards against entries that go on dispatching to a drained target until its agent reports.
+/// Guards against entries that dispatch to a draining target until its agent has executed the
+/// order.
 #[test]
 fn drain_changes_the_state_with_the_order() {
-    let world = World::with_targets(1);
-    world.run(order("t0", OrderKind::Drain)).unwrap();
-    let snapshot = world.at(world.head());
+    let fixture = Fixture::with_targets(1);
+    fixture.run(order("t0", OrderKind::Drain)).unwrap();
+    let snapshot = fixture.at(fixture.head());
     assert!(!snapshot.target("t0").unwrap().value.state.accepts_work());
-    let row = world.table.row("target/t0").unwrap();
+    let row = fixture.table.row("target/t0").unwrap();
     let stored: control::Versioned<types::Target> = control::decode(&row).unwrap();
     assert_eq!(stored, **snapshot.target("t0").unwrap());
-    assert!(world.run(order("t0", OrderKind::Drain)).is_err());
+    assert!(fixture.run(order("t0", OrderKind::Drain)).is_err());
 }
 
-/// Guards against an audit trail that misses records or shows them in another order.
+/// Guards against an audit trail with missing records or in the wrong order.
 #[test]
 fn audit_reads_the_log_newest_first() {
-    let world = World::new();
-    world.run(create("p", 1)).unwrap();
+    let fixture = Fixture::new();
+    fixture.run(create("p", 1)).unwrap();
     for limit in 0..250 {
-        world.run(change("p", limit)).unwrap();
+        fixture.run(change("p", limit)).unwrap();
     }
     let read =
-        |before, limit| smol::block_on(control::audit(&*world.table, before, limit)).unwrap();
-    let mut log = world.log();
+        |before, limit| smol::block_on(control::audit(&*fixture.table, before, limit)).unwrap();
+    let mut log = fixture.log();
     log.reverse();
     assert_eq!(read(None, 1000), log);
     assert_eq!(read(None, 120), log[..120]);
--- a/components/control/tests/common/followers.rs
+++ b/components/control/tests/common/followers.rs
@@ -1,4 +1,4 @@
-//! Followers of one table, driven step by step.
+//! Simulation of entries whose followers read one table.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use store::TableRequest;
 use types::OrderKind;
 
-use super::World;
+use super::Fixture;
 use super::change;
 use super::create;
 use super::executed;
@@ -26,45 +26,47 @@
 
 pub const ENTRIES: usize = 3;
 
-/// A call to the table, which is carried out at some time before its reply arrives.
-pub struct Call {
+/// A table request in flight. It takes effect at some time before its reply is delivered.
+pub struct PendingRequest {
     pub operation: u64,
     pub request: TableRequest,
+    /// `None` until the request has taken effect.
     pub reply: Option<TableReply>,
 }
 
 pub struct Entry {
     pub follower: Follower,
-    pub calls: Vec<Call>,
+    pub calls: Vec<PendingRequest>,
     pub inbox: VecDeque<FollowerEvent>,
+    /// Revision of the last snapshot that the follower reported.
     pub applied: u64,
 }
 
-/// Followers of one table, with their messages under way.
+/// Entries with followers of one table, and the messages between them.
 pub struct Fleet {
-    pub world: World,
+    pub fixture: Fixture,
     pub entries: Vec<Entry>,
     pub start: Instant,
     pub elapsed: Duration,
     pub outage: bool,
     pub seed: u64,
-    /// Questions to peers so far; each one goes to another peer.
-    pub asked: usize,
+    /// Number of requests to peers so far; consecutive ones go to different peers.
+    pub peer_requests: usize,
 }
 
 impl Fleet {
-    pub fn new(world: World) -> Self {
+    pub fn new(fixture: Fixture) -> Self {
         let start = Instant::now();
         let mut fleet = Self {
-            world,
+            fixture,
             entries: Vec::new(),
             start,
             elapsed: Duration::ZERO,
             outage: false,
             seed: 0,
-            asked: 0,
+            peer_requests: 0,
         };
-        fleet.entries = (0..ENTRIES).map(|_| fleet.started()).collect();
+        fleet.entries = (0..ENTRIES).map(|_| fleet.start_entry()).collect();
         fleet
     }
 
@@ -72,7 +74,7 @@
         self.start + self.elapsed
     }
 
-    pub fn started(&mut self) -> Entry {
+    pub fn start_entry(&mut self) -> Entry {
         self.seed += 1;
         Entry {
             follower: Follower::new(FollowerOptions::default(), self.now(), self.seed),
@@ -88,15 +90,15 @@
         for action in actions {
             match action {
                 FollowerAction::Table { operation, request } => {
-                    self.entries[index].calls.push(Call {
+                    self.entries[index].calls.push(PendingRequest {
                         operation,
                         request,
                         reply: None,
                     });
                 }
                 FollowerAction::AskPeer { after } => {
-                    self.asked += 1;
-                    let to = (index + 1 + self.asked % (ENTRIES - 1)) % ENTRIES;
+                    self.peer_requests += 1;
+                    let to = (index + 1 + self.peer_requests % (ENTRIES - 1)) % ENTRIES;
                     let peer = index as u64;
                     let event = FollowerEvent::PeerAsks { peer, after };
                     self.entries[to].inbox.push_back(event);
@@ -109,9 +111,12 @@
                 }
                 FollowerAction::Applied { snapshot, .. } => {
                     let entry = &mut self.entries[index];
-                    assert!(snapshot.revision() >= entry.applied, "went back");
+                    assert!(
+                        snapshot.revision() >= entry.applied,
+                        "the follower reverted to an older revision"
+                    );
                     entry.applied = snapshot.revision();
-                    assert_eq!(*snapshot, self.world.at(snapshot.revision()));
+                    assert_eq!(*snapshot, self.fixture.at(snapshot.revision()));
                 }
                 FollowerAction::Rejected { detail } => panic!("{detail}"),
             }
@@ -120,7 +125,7 @@
         assert_eq!(entry.follower.applied(), entry.applied);
     }
 
-    /// Carries out the oldest call that waits, without delivering the reply.
+    /// Applies the oldest table request that has not taken effect, without delivering the reply.
     pub fn execute(&mut self, index: usize) {
         if self.outage {
             return;
@@ -130,11 +135,11 @@
             .iter_mut()
             .find(|call| call.reply.is_none());
         if let Some(call) = call {
-            call.reply = Some(self.world.table.apply(&call.request));
+            call.reply = Some(self.fixture.table.apply(&call.request));
         }
     }
 
-    /// Delivers the reply to a call, or an error.
+    /// Delivers the reply to a table request, or an error if it has not taken effect.
     pub fn deliver(&mut self, index: usize, choice: usize) {
         if self.entries[index].calls.is_empty() {
             return;
@@ -154,27 +159,28 @@
         }
     }
 
-    pub fn change_something(&self, choice: u8) {
+    /// Makes one of nine kinds of change.
+    pub fn make_change(&self, choice: u8) {
         let number = u32::from(choice) + 2;
-        // Some of the commands are refused in the present state, and change nothing.
+        // Commands that are not possible in the present state are refused and change nothing.
         let _ = match choice % 9 {
-            0 => self.world.run(create("p2", number)),
-            1 => self.world.run(change("p2", number)),
-            2 => self.world.run(retire("p2")),
-            3 => self.world.run(set_service("s", "p2")),
-            4 => self.world.run(set_service("s", "p")),
-            5 => self.world.run(order("t0", OrderKind::Drain)),
-            6 => self.world.run(order("t0", OrderKind::Resume)),
+            0 => self.fixture.run(create("p2", number)),
+            1 => self.fixture.run(change("p2", number)),
+            2 => self.fixture.run(retire("p2")),
+            3 => self.fixture.run(set_service("s", "p2")),
+            4 => self.fixture.run(set_service("s", "p")),
+            5 => self.fixture.run(order("t0", OrderKind::Drain)),
+            6 => self.fixture.run(order("t0", OrderKind::Resume)),
             7 => {
                 let update = TargetUpdate::Register(Box::new(target("t0", number.into())));
-                let _ = self.world.update(&update);
+                let _ = self.fixture.update(&update);
                 return;
             }
             _ => {
-                let snapshot = self.world.at(self.world.head());
+                let snapshot = self.fixture.at(self.fixture.head());
                 let incarnation = snapshot.target("t0").map_or(0, |t| t.value.incarnation);
                 let order = snapshot.order("t0").map_or(0, |order| order.number);
-                let _ = self.world.update(&executed("t0", incarnation, order));
+                let _ = self.fixture.update(&executed("t0", incarnation, order));
                 return;
             }
         };
@@ -194,14 +200,14 @@
                 self.handle(index, FollowerEvent::Hint { revision });
             }
             7 | 8 => self.deliver_peer(index),
-            9 => self.change_something(choice),
-            10 if choice % 4 == 0 => self.entries[index] = self.started(),
+            9 => self.make_change(choice),
+            10 if choice % 4 == 0 => self.entries[index] = self.start_entry(),
             10 => drop(self.entries[index].inbox.pop_front()),
             _ => self.outage = !self.outage,
         }
     }
 
-    /// Lets one entry read everything.
+    /// Runs one entry for 2 s, with all replies of the table delivered.
     pub fn settle_one(&mut self, index: usize) {
         for _ in 0..8 {
             self.elapsed += ms(250);
@@ -213,7 +219,7 @@
         }
     }
 
-    /// Lets time pass and everything be delivered.
+    /// Runs all entries for `rounds` of 250 ms each, with all replies and messages delivered.
     pub fn settle(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.elapsed += ms(250);
--- a/components/control/tests/common/mod.rs
+++ b/components/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Parts that several tests use.
+//! Fixture, builders and fault injection for the tests of this crate.
 #![allow(dead_code)]
 
 pub mod followers;
@@ -43,10 +43,10 @@
 use types::Target;
 use types::TargetState;
 
-/// Lets other tasks run before and after each call.
-struct Yielding(Rc<MemoryTable>);
+/// Table that yields to other tasks before and after each request.
+struct YieldingTable(Rc<MemoryTable>);
 
-impl Table for Yielding {
+impl Table for YieldingTable {
     fn call(&self, request: TableRequest) -> StoreFuture<'_, TableReply> {
         Box::pin(async move {
             futures_lite::future::yield_now().await;
@@ -57,13 +57,13 @@
     }
 }
 
-/// A table in memory with a clock that moves only in pauses.
-pub struct World {
+/// In-memory table with a clock that advances only while a task sleeps.
+pub struct Fixture {
     pub clock: Rc<ManualClock>,
     pub table: Rc<MemoryTable>,
 }
 
-impl World {
+impl Fixture {
     pub fn new() -> Self {
         Self {
             clock: Rc::new(ManualClock::new()),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// An executor on a guarded table, as an entry has it.
+    /// An executor on a guarded table, as used in an entry.
     pub fn executor(&self, seed: u64) -> Executor {
         let clock = Rc::clone(&self.clock) as Rc<dyn Clock>;
         let timer = Rc::new(ManualTimer(Rc::clone(&self.clock)));
@@ -85,17 +85,17 @@
             timer: timer.clone(),
             budget: Rc::new(RateBudget::new(&budget, clock.now())),
         };
-        let inner = Rc::new(Yielding(Rc::clone(&self.table)));
+        let inner = Rc::new(YieldingTable(Rc::clone(&self.table)));
         let guarded = Guarded::new(inner, RetryOptions::default(), context, seed);
         Executor::new(Rc::new(guarded), clock, timer, seed)
     }
 
-    /// Executes one command without anything beside it.
+    /// Executes one command with nothing running concurrently.
     pub fn run(&self, command: Command) -> Result<CommandOutcome, CommandError> {
         smol::block_on(self.executor(99).execute("setup", &request(command)))
     }
 
-    /// Writes one target update without anything beside it.
+    /// Writes one target update with nothing running concurrently.
     pub fn update(&self, update: &TargetUpdate) -> Result<Option<Change>, control::TargetError> {
         let author = control::Author {
             by: "agent",
@@ -106,18 +106,18 @@
 
     /// A service `s` under the profile `p` with targets `t0`, `t1`, …
     pub fn with_targets(count: usize) -> Self {
-        let world = Self::new();
-        world.run(create("p", 1)).unwrap();
-        world.run(set_service("s", "p")).unwrap();
+        let fixture = Self::new();
+        fixture.run(create("p", 1)).unwrap();
+        fixture.run(set_service("s", "p")).unwrap();
         for number in 0..count {
             let target = target(&format!("t{number}"), 1);
             let update = TargetUpdate::Register(Box::new(target));
-            world.update(&update).unwrap();
+            fixture.update(&update).unwrap();
         }
-        world
+        fixture
     }
 
-    /// The whole log.
+    /// All log records; fails if a revision is missing.
     pub fn log(&self) -> Vec<Change> {
         let request = TableRequest::Scan {
             prefix: keys::LOG.to_owned(),
@@ -125,7 +125,7 @@
             limit: usize::MAX,
         };
         let TableReply::Rows(rows) = self.table.apply(&request) else {
-            panic!("a scan is answered by rows");
+            panic!("the table answered a scan without rows");
         };
         let log: Vec<Change> = rows
             .iter()
@@ -134,11 +134,11 @@
         let contiguous = (1..)
             .zip(&log)
             .all(|(revision, change)| change.revision == revision);
-        assert!(contiguous, "revisions of the log have a gap");
+        assert!(contiguous, "the revisions of the log are not contiguous");
         log
     }
 
-    /// The configuration at a revision, from the log alone.
+    /// The configuration at a revision, rebuilt from the log.
     pub fn at(&self, revision: u64) -> Snapshot {
         let mut snapshot = Snapshot::default();
         for change in self.log().iter().take(usize::try_from(revision).unwrap()) {
@@ -152,7 +152,7 @@
     }
 }
 
-/// What goes wrong with one call of the table.
+/// Fault injected into one table request, or none.
 #[derive(Debug, Clone, Copy)]
 pub struct Fault(pub CallFault);
 
@@ -172,7 +172,7 @@
     }
 }
 
-/// Runs futures to their end, polled in the order that `choices` give.
+/// Runs futures to completion. `choices` select the future to poll next.
 pub fn interleave<T>(
     mut futures: Vec<Pin<Box<dyn Future<Output = T> + '_>>>,
     choices: &[u8],
@@ -186,7 +186,7 @@
         let waiting: Vec<usize> = (0..results.len())
             .filter(|&index| results[index].is_none())
             .collect();
-        // The turn is added so that no future starves under a short list of choices.
+        // Adding the turn prevents starvation of a future when `choices` is short.
         let choice = usize::from(choices.next().unwrap_or(0)) + turn / 7;
         let index = waiting[choice % waiting.len()];
         if let std::task::Poll::Ready(result) = futures[index].as_mut().poll(&mut cx) {
--- a/components/control/tests/decoders.rs
+++ b/components/control/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Random and mutated values of table rows.
+//! Decoding of random and mutated row values.
 //!
 //! `QUICKCHECK_TESTS` sets the number of inputs for each property.
 
@@ -15,7 +15,7 @@
 use types::Target;
 
 const DEFAULT_CASES: u64 = 5_000;
-/// Deeper than any row, and than `serde_json` follows.
+/// Nesting depth; beyond that of any row and the recursion limit of `serde_json`.
 const DEPTH: usize = 100_000;
 const VALID: [&str; 4] = [
     r#"{"revision":7}"#,
@@ -24,7 +24,7 @@
     r#"{"target":"t","number":1,"fencing":2,"kind":{"kind":"drain"},"revision":3}"#,
 ];
 
-fn decodes<T: DeserializeOwned>(value: &str) -> bool {
+fn decodes_or_names_row<T: DeserializeOwned>(value: &str) -> bool {
     let row = Row {
         key: "k".to_owned(),
         value: value.to_owned(),
@@ -36,14 +36,15 @@
     )
 }
 
-fn survives(value: &str) -> bool {
-    decodes::<Head>(value)
-        && decodes::<LeaseRow>(value)
-        && decodes::<Change>(value)
-        && decodes::<Order>(value)
-        && decodes::<Versioned<Profile>>(value)
-        && decodes::<Versioned<Service>>(value)
-        && decodes::<Versioned<Target>>(value)
+/// Whether a value is decoded or rejected with the row's key, as each type of row.
+fn decodes_as_every_type(value: &str) -> bool {
+    decodes_or_names_row::<Head>(value)
+        && decodes_or_names_row::<LeaseRow>(value)
+        && decodes_or_names_row::<Change>(value)
+        && decodes_or_names_row::<Order>(value)
+        && decodes_or_names_row::<Versioned<Profile>>(value)
+        && decodes_or_names_row::<Versioned<Service>>(value)
+        && decodes_or_names_row::<Versioned<Target>>(value)
 }
 
 fn check(property: fn(Vec<u8>, Vec<(usize, u8)>) -> bool) {
@@ -52,13 +53,13 @@
         .quickcheck(property);
 }
 
-/// Guards against a row written by another version, or damaged, that panics in a follower.
+/// Guards against a panic in a follower on a row that another version wrote or that is corrupt.
 #[test]
 fn random_rows_give_errors_that_name_the_row() {
-    check(|bytes, _| survives(&String::from_utf8_lossy(&bytes)));
+    check(|bytes, _| decodes_as_every_type(&String::from_utf8_lossy(&bytes)));
 }
 
-/// Guards against damage in any field of a row.
+/// Guards against a panic on a corrupt field of a row.
 #[test]
 fn mutated_rows_give_errors_that_name_the_row() {
     check(|_, changes| {
@@ -68,12 +69,12 @@
                 let at = at % bytes.len();
                 bytes[at] = *byte;
             }
-            survives(&String::from_utf8_lossy(&bytes))
+            decodes_as_every_type(&String::from_utf8_lossy(&bytes))
         })
     });
 }
 
-/// Guards against mutations of values that were never valid.
+/// Guards against mutation tests that start from values which are not valid.
 #[test]
 fn unchanged_rows_are_accepted() {
     let row = |value: &str| Row {
@@ -87,10 +88,10 @@
     assert!(decode::<Order>(&row(VALID[3])).is_ok());
 }
 
-/// Guards against a nested value that overflows the stack.
+/// Guards against a stack overflow on a nested value.
 #[test]
 fn deeply_nested_rows_give_errors() {
     for open in ["[", "{\"revision\":", "{\"value\":"] {
-        assert!(survives(&open.repeat(DEPTH)), "nested {open}");
+        assert!(decodes_as_every_type(&open.repeat(DEPTH)), "nested {open}");
     }
 }
--- a/components/control/tests/follower.rs
+++ b/components/control/tests/follower.rs
@@ -1,8 +1,8 @@
-//! Followers of the log: polls, hints, peers, outages and restarts in any order.
+//! Followers of the change log under polls, hints, exchange with peers, outages and restarts.
 
 mod common;
 
-use common::World;
+use common::Fixture;
 use common::change;
 use common::followers::Fleet;
 use common::ms;
@@ -11,70 +11,71 @@
 use control::PeerAnswer;
 use seeded::quickcheck;
 
-/// Guards against a configuration that reverts, differs from the log, or stays behind.
+/// Guards against a follower whose configuration reverts, differs from the log, or does not reach
+/// the head.
 #[test]
-fn follower_never_goes_back_and_reaches_the_head() {
+fn follower_never_reverts_and_reaches_the_head() {
     fn property(steps: Vec<(u8, u8)>) -> bool {
-        let mut fleet = Fleet::new(World::with_targets(2));
+        let mut fleet = Fleet::new(Fixture::with_targets(2));
         for step in steps {
             fleet.step(step);
         }
         fleet.outage = false;
         fleet.settle(80);
-        let head = fleet.world.head();
+        let head = fleet.fixture.head();
         let now = fleet.now();
         fleet
             .entries
             .iter()
             .all(|entry| entry.applied == head && entry.follower.behind(now).is_none())
     }
-    // Long histories, in which entries restart and fall behind each other several times.
+    // The sequences are long, so that entries restart and lag behind each other several times.
     let mut check = seeded::check_sized(1000);
     check.quickcheck(property as fn(Vec<(u8, u8)>) -> bool);
 }
 
 quickcheck! {
-    /// Guards against entries that need the table although a peer has what they lack, both
-    /// for a snapshot after a restart and for a few changes.
-    fn peers_stand_in_for_the_table(changes: Vec<u8>, restarted: bool) -> bool {
-        let mut fleet = Fleet::new(World::with_targets(2));
+    /// Guards against an entry that receives no changes or no snapshot during an outage of the
+    /// table although a peer has them.
+    fn peers_provide_changes_and_snapshots_in_an_outage(changes: Vec<u8>, restarted: bool) -> bool {
+        let mut fleet = Fleet::new(Fixture::with_targets(2));
         fleet.settle(8);
         for choice in changes {
-            fleet.change_something(choice);
+            fleet.make_change(choice);
         }
-        // Entry 0 alone sees the changes before the outage.
+        // Only entry 0 reads the changes before the outage.
         fleet.settle_one(0);
         fleet.outage = true;
         if restarted {
-            fleet.entries[1] = fleet.started();
+            fleet.entries[1] = fleet.start_entry();
         }
-        let head = fleet.world.head();
+        let head = fleet.fixture.head();
         let now = fleet.now();
         assert_eq!(fleet.entries[0].applied, head);
         fleet.handle(1, FollowerEvent::Hint { revision: head });
-        let told = fleet.entries[1].applied == head || fleet.entries[1].follower.behind(now)
+        let is_known = fleet.entries[1].applied == head || fleet.entries[1].follower.behind(now)
             .is_some_and(|behind| behind.known == head);
         fleet.settle(60);
-        told && fleet.entries[1].applied == head
+        is_known && fleet.entries[1].applied == head
     }
 }
 
-/// Guards against a hint that has to wait for the next poll, also when it arrives while a call
-/// is under way.
+/// Guards against a hint that takes effect only at the next poll, also if it arrives while a table
+/// request is in flight.
 #[test]
-fn hint_is_followed_at_once() {
-    let mut fleet = Fleet::new(World::with_targets(1));
+fn hint_causes_a_read_at_once() {
+    let mut fleet = Fleet::new(Fixture::with_targets(1));
     fleet.settle(8);
-    for call_under_way in [false, true] {
-        if call_under_way {
+    for is_call_in_flight in [false, true] {
+        if is_call_in_flight {
             fleet.elapsed += ms(1000);
             fleet.handle(0, FollowerEvent::Tick);
             fleet.execute(0);
         }
-        fleet.world.run(change("p", 7)).unwrap();
-        let revision = fleet.world.head();
+        fleet.fixture.run(change("p", 7)).unwrap();
+        let revision = fleet.fixture.head();
         fleet.handle(0, FollowerEvent::Hint { revision });
-        if call_under_way {
+        if is_call_in_flight {
             fleet.deliver(0, 0);
         }
         fleet.execute(0);
@@ -83,35 +84,36 @@
     }
 }
 
-/// Guards against entries that together exceed the table's rate of reads while many changes
-/// are made, for example when many agents register at once.
+/// Guards against entries that together exceed the read rate of the table while many changes are
+/// made, for example when many agents register at once.
 #[test]
 fn many_hints_cause_few_reads() {
-    let mut fleet = Fleet::new(World::with_targets(1));
+    let mut fleet = Fleet::new(Fixture::with_targets(1));
     fleet.settle(8);
     let mut reads = 0;
     for limit in 0..100 {
-        fleet.world.run(change("p", limit)).unwrap();
+        fleet.fixture.run(change("p", limit)).unwrap();
         fleet.elapsed += ms(10);
-        let revision = fleet.world.head();
+        let revision = fleet.fixture.head();
         fleet.handle(0, FollowerEvent::Hint { revision });
         reads += fleet.entries[0].calls.len();
         fleet.execute(0);
         fleet.deliver(0, 0);
     }
-    // One read each 200 ms of the second, the first one at once, and one poll.
+    // In one second: a read at once, one every 200 ms after it, and one poll.
     assert!((5..=7).contains(&reads), "{reads} reads");
     fleet.settle(8);
-    assert_eq!(fleet.entries[0].applied, fleet.world.head());
+    assert_eq!(fleet.entries[0].applied, fleet.fixture.head());
 }
 
-/// Guards against snapshots and logs that are cut at the size of one page or one frame.
+/// Guards against a snapshot that is truncated at the size of a page of the table or of a frame
+/// between peers.
 #[test]
-fn large_configuration_is_read_in_pages_and_given_in_parts() {
-    let world = World::with_targets(2000);
-    let mut fleet = Fleet::new(world);
+fn large_configuration_is_read_in_pages_and_sent_in_parts() {
+    let fixture = Fixture::with_targets(2000);
+    let mut fleet = Fleet::new(fixture);
     fleet.settle_one(0);
-    assert_eq!(fleet.entries[0].applied, fleet.world.head());
+    assert_eq!(fleet.entries[0].applied, fleet.fixture.head());
     fleet.outage = true;
     let asks = FollowerEvent::PeerAsks { peer: 1, after: 0 };
     fleet.handle(0, asks);
@@ -130,13 +132,13 @@
     while !fleet.entries[1].inbox.is_empty() {
         fleet.deliver_peer(1);
     }
-    assert_eq!(fleet.entries[1].applied, fleet.world.head());
+    assert_eq!(fleet.entries[1].applied, fleet.fixture.head());
 }
 
-/// Guards against a snapshot that is put together from parts of two transfers.
+/// Guards against a snapshot with a missing part, or with parts of two transfers.
 #[test]
 fn snapshot_with_missing_part_is_not_applied() {
-    let mut fleet = Fleet::new(World::with_targets(1));
+    let mut fleet = Fleet::new(Fixture::with_targets(1));
     let answer = |part| PeerAnswer::Snapshot {
         head: 3,
         part,
@@ -150,20 +152,20 @@
     assert_eq!(fleet.entries[0].follower.snapshot(), None);
 }
 
-/// Guards against a restarted entry that serves an older configuration than its earlier run did,
-/// because the first peer that it asked lags behind the others.
+/// Guards against a restarted entry that applies an older configuration than its earlier run,
+/// because the first peer that answers lags behind the others.
 #[test]
 fn first_snapshot_of_a_peer_that_lags_is_not_applied() {
-    let mut fleet = Fleet::new(World::with_targets(2));
+    let mut fleet = Fleet::new(Fixture::with_targets(2));
     fleet.settle(8);
-    let lagging = fleet.world.head();
-    fleet.world.run(change("p", 7)).unwrap();
-    let head = fleet.world.head();
+    let lagging = fleet.fixture.head();
+    fleet.fixture.run(change("p", 7)).unwrap();
+    let head = fleet.fixture.head();
     fleet.outage = true;
-    fleet.entries[0] = fleet.started();
+    fleet.entries[0] = fleet.start_entry();
     fleet.handle(0, FollowerEvent::Hint { revision: head });
     let records = |revision| {
-        let records = fleet.world.at(revision).records();
+        let records = fleet.fixture.at(revision).records();
         let json = |record: &types::Change| serde_json::to_string(record).unwrap();
         records.iter().map(json).collect::<Vec<String>>()
     };
@@ -179,16 +181,15 @@
     }
 }
 
-/// Guards against changes that are applied although an earlier one is missing, and against
-/// changes that are applied twice.
+/// Guards against records that are applied after a gap, or twice.
 #[test]
-fn records_that_do_not_follow_are_not_applied() {
-    let mut fleet = Fleet::new(World::with_targets(1));
+fn records_after_a_gap_and_repeated_records_are_not_applied() {
+    let mut fleet = Fleet::new(Fixture::with_targets(1));
     fleet.settle(8);
     for limit in 0..3 {
-        fleet.world.run(change("p", limit)).unwrap();
+        fleet.fixture.run(change("p", limit)).unwrap();
     }
-    let log = fleet.world.log();
+    let log = fleet.fixture.log();
     let answer = |records: &[types::Change]| FollowerEvent::PeerAnswered {
         peer: 1,
         answer: PeerAnswer::Changes {
@@ -210,15 +211,15 @@
 /// Guards against a snapshot from the table that replaces a newer one from a peer.
 #[test]
 fn slow_snapshot_does_not_replace_a_newer_one() {
-    let mut fleet = Fleet::new(World::with_targets(1));
+    let mut fleet = Fleet::new(Fixture::with_targets(1));
     fleet.handle(0, FollowerEvent::Tick);
     for _ in 0..5 {
         fleet.execute(0);
         fleet.deliver(0, 0);
     }
-    // The last page is read from the table, and its reply is slow.
+    // The last page is read from the table, and its reply is delayed.
     fleet.execute(0);
-    fleet.world.run(change("p", 7)).unwrap();
+    fleet.fixture.run(change("p", 7)).unwrap();
     fleet.settle_one(1);
     let asks = FollowerEvent::PeerAsks { peer: 0, after: 0 };
     fleet.handle(1, asks);
@@ -228,10 +229,10 @@
     assert_eq!(fleet.entries[0].applied, 4);
 }
 
-/// Guards against a record that this version does not understand and that is skipped.
+/// Guards against a record that this version cannot decode and skips.
 #[test]
-fn stops_before_a_record_that_it_does_not_understand() {
-    let mut fleet = Fleet::new(World::with_targets(1));
+fn stops_before_a_record_that_cannot_be_decoded() {
+    let mut fleet = Fleet::new(Fixture::with_targets(1));
     fleet.settle(8);
     let now = fleet.now();
     let follower = &mut fleet.entries[0].follower;
--- a/components/control/tests/lease.rs
+++ b/components/control/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases, and orders under them.
+//! Leases, and orders that planners write under them.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 use common::Fault;
-use common::World;
+use common::Fixture;
 use common::executed;
 use common::ms;
 use common::order;
@@ -30,17 +30,17 @@
 
 const DURATION_MS: Duration = Duration::from_secs(9);
 const ENTRIES: usize = 3;
-const LOOK_MS: Duration = Duration::from_secs(15);
+const OBSERVER_POLL_MS: Duration = Duration::from_secs(15);
 
 struct Entry {
     lease: Lease,
-    /// What the entry believes, however old it is.
-    believed: Option<HeldLease>,
+    /// Lease that the entry last acquired and has not noticed the loss of.
+    last_held: Option<HeldLease>,
     replies: Vec<LeaseEvent>,
 }
 
 struct Fleet {
-    world: World,
+    fixture: Fixture,
     entries: Vec<Entry>,
     start: Instant,
     elapsed: Duration,
@@ -48,23 +48,23 @@
     last_write: Option<(u64, control::LeaseRow, Duration)>,
     incarnations: u64,
     plans: Vec<Pin<Box<dyn Future<Output = ()>>>>,
-    /// Fencing numbers under which planners wrote orders.
-    planned_under: BTreeSet<u64>,
+    /// Fencing numbers of the orders that planners wrote.
+    order_fencings: BTreeSet<u64>,
 }
 
 impl Fleet {
     fn new() -> Self {
         let mut fleet = Self {
-            world: World::with_targets(2),
+            fixture: Fixture::with_targets(2),
             entries: Vec::new(),
             start: Instant::now(),
             elapsed: Duration::ZERO,
             last_write: None,
             incarnations: 0,
             plans: Vec::new(),
-            planned_under: BTreeSet::new(),
+            order_fencings: BTreeSet::new(),
         };
-        fleet.entries = (0..ENTRIES).map(|_| fleet.started()).collect();
+        fleet.entries = (0..ENTRIES).map(|_| fleet.start_entry()).collect();
         fleet
     }
 
@@ -72,18 +72,18 @@
         self.start + self.elapsed
     }
 
-    fn started(&mut self) -> Entry {
+    fn start_entry(&mut self) -> Entry {
         self.incarnations += 1;
-        let me = self.incarnations;
-        let lease = Lease::new("s", me, DURATION_MS, self.now(), me);
+        let incarnation = self.incarnations;
+        let lease = Lease::new("s", incarnation, DURATION_MS, self.now(), incarnation);
         Entry {
-            // Runs 3, 6, ... are observers.
-            lease: if me.is_multiple_of(3) {
-                lease.observing(LOOK_MS)
+            // Every third run of an entry is an observer.
+            lease: if incarnation.is_multiple_of(3) {
+                lease.observing(OBSERVER_POLL_MS)
             } else {
                 lease
             },
-            believed: None,
+            last_held: None,
             replies: Vec::new(),
         }
     }
@@ -94,23 +94,24 @@
         for action in actions {
             match action {
                 LeaseAction::Table { operation, request } => {
-                    let result = smol::block_on(self.world.table.call(request));
+                    let result = smol::block_on(self.fixture.table.call(request));
                     self.check_takeover();
                     let event = LeaseEvent::TableDone { operation, result };
                     self.entries[index].replies.push(event);
                 }
-                LeaseAction::Acquired(held) => self.entries[index].believed = Some(held),
-                LeaseAction::Lost => self.entries[index].believed = None,
+                LeaseAction::Acquired(held) => self.entries[index].last_held = Some(held),
+                LeaseAction::Lost => self.entries[index].last_held = None,
             }
         }
     }
 
     fn row(&self) -> Option<(u64, control::LeaseRow)> {
-        let row = self.world.table.row("lease/s")?;
+        let row = self.fixture.table.row("lease/s")?;
         Some((row.version, control::decode(&row).unwrap()))
     }
 
-    /// A lease that was not given back changes its holder only after its whole duration.
+    /// Checks that a lease that was not released changes its holder only after it was unchanged for
+    /// the lease duration.
     fn check_takeover(&mut self) {
         let Some((version, row)) = self.row() else {
             return;
@@ -123,7 +124,10 @@
             assert_eq!(row.fencing, before.fencing + u64::from(is_new_holder));
             if is_new_holder && before.holder != 0 {
                 let unchanged = self.elapsed.saturating_sub(written);
-                assert!(unchanged >= DURATION_MS, "taken too early");
+                assert!(
+                    unchanged >= DURATION_MS,
+                    "the lease was taken over before its duration ended"
+                );
             }
         }
         self.last_write = Some((version, row, self.elapsed));
@@ -136,9 +140,10 @@
         }
     }
 
-    /// Starts to plan with whatever the entry believes, as a process does that was paused.
+    /// Starts an order under the lease that the entry last held, as a process does that was
+    /// suspended while it lost the lease.
     fn start_plan(&mut self, index: usize, choice: u8) {
-        let Some(held) = self.entries[index].believed.clone() else {
+        let Some(held) = self.entries[index].last_held.clone() else {
             return;
         };
         let kind = match choice % 4 {
@@ -154,43 +159,47 @@
             kind,
             supersedes: None,
         };
-        let executor = self.world.executor(u64::from(choice));
+        let executor = self.fixture.executor(u64::from(choice));
         self.plans.push(Box::pin(async move {
             let by = intent.held.holder.to_string();
             let reason = "mix";
-            // The log shows what came of it.
+            // The outcome is checked in the log.
             let _ = executor.apply(&intent, Author { by: &by, reason }).await;
         }));
     }
 
-    /// Lets one plan go on by at most one call of the table, so that anything may happen
-    /// between its reads and its commit.
+    /// Advances one plan by at most one table request, so that other events can occur between its
+    /// reads and its commit.
     fn continue_plan(&mut self, choice: u8) {
         if self.plans.is_empty() {
             return;
         }
         let index = usize::from(choice) % self.plans.len();
-        let (row, head) = (self.row(), self.world.head());
+        let (row, head) = (self.row(), self.fixture.head());
         let mut cx = Context::from_waker(Waker::noop());
         if self.plans[index].as_mut().poll(&mut cx).is_ready() {
             drop(self.plans.swap_remove(index));
         }
-        for change in self.world.log().split_off(usize::try_from(head).unwrap()) {
+        for change in self.fixture.log().split_off(usize::try_from(head).unwrap()) {
             if let (ChangeBody::Order { after, .. }, false) = (change.body, change.by == "setup") {
-                let (_, row) = row.expect("an order was planned without a lease row");
-                assert_eq!(row.holder.to_string(), change.by, "order without the lease");
+                let (_, row) = row.expect("a planner wrote an order without a lease row");
+                assert_eq!(
+                    row.holder.to_string(),
+                    change.by,
+                    "the author of an order did not hold the lease"
+                );
                 assert_eq!(row.fencing, after.fencing);
-                self.planned_under.insert(after.fencing);
+                self.order_fencings.insert(after.fencing);
             }
         }
     }
 
     fn step(&mut self, step: (u8, u8)) {
-        self.take_step(step);
+        self.apply_step(step);
         self.check_takeover();
     }
 
-    fn take_step(&mut self, (kind, choice): (u8, u8)) {
+    fn apply_step(&mut self, (kind, choice): (u8, u8)) {
         let index = usize::from(choice) % ENTRIES;
         match kind % 16 {
             0..=2 => {
@@ -200,81 +209,90 @@
             3..=5 => self.deliver(index),
             6 if self.plans.len() < 4 => self.start_plan(index, choice / 3),
             6..=11 => self.continue_plan(choice / 3),
-            12 if choice % 8 == 0 => self.entries[index] = self.started(),
+            12 if choice % 8 == 0 => self.entries[index] = self.start_entry(),
             12 if choice % 8 == 1 => self.handle(index, LeaseEvent::Release),
             13 if choice % 4 == 0 => {
                 let target = format!("t{}", choice % 2);
-                let _ = self.world.run(order(&target, OrderKind::Resume));
+                let _ = self.fixture.run(order(&target, OrderKind::Resume));
             }
             _ => {
                 let target = format!("t{}", choice % 2);
-                let order = self.world.at(self.world.head());
+                let order = self.fixture.at(self.fixture.head());
                 let number = order.order(&target).map_or(0, |order| order.number);
-                let _ = self.world.update(&executed(&target, 1, number));
+                let _ = self.fixture.update(&executed(&target, 1, number));
             }
         }
     }
 
-    /// Orders of the log: numbers grow by one per target, and fencing numbers never go back.
+    /// Checks the orders in the log: numbers increase by one for each target, fencing numbers never
+    /// decrease, and each fencing number has one author.
     fn check_orders(&self) {
         let mut numbers: BTreeMap<String, u64> = BTreeMap::new();
         let mut holders: BTreeMap<u64, String> = BTreeMap::new();
         let mut fencing = 0;
-        for change in self.world.log() {
+        for change in self.fixture.log() {
             let ChangeBody::Order { after, .. } = change.body else {
                 continue;
             };
             let last = numbers.insert(after.target, after.number).unwrap_or(0);
-            assert_eq!(after.number, last + 1, "order numbers repeat or have a gap");
+            assert_eq!(
+                after.number,
+                last + 1,
+                "the order numbers of a target are not contiguous"
+            );
             assert!(
                 after.fencing >= fencing,
-                "an order has an old fencing number"
+                "an order has a lower fencing number than an earlier one"
             );
             fencing = after.fencing;
             if change.by != "setup" {
                 let holder = holders
                     .entry(after.fencing)
                     .or_insert_with(|| change.by.clone());
-                assert_eq!(*holder, change.by, "two holders planned under one number");
+                assert_eq!(
+                    *holder, change.by,
+                    "two holders wrote orders under one fencing number"
+                );
             }
         }
     }
 }
 
-/// Long histories, in which leases change their holder several times.
-fn check_long(property: fn(Vec<(u8, u8)>, Vec<Fault>) -> bool) {
+/// Checks a property with sequences so long that leases change their holder several times.
+fn check_long_sequences(property: fn(Vec<(u8, u8)>, Vec<Fault>) -> bool) {
     seeded::check_sized(1200).quickcheck(property);
 }
 
-fn after_history(steps: Vec<(u8, u8)>, faults: &[Fault]) -> Fleet {
+/// Fleet after a sequence of steps, with the faults injected into the table.
+fn after_steps(steps: Vec<(u8, u8)>, faults: &[Fault]) -> Fleet {
     let mut fleet = Fleet::new();
     let faults = faults.iter().take(150).map(|fault| fault.0);
-    fleet.world.table.script(faults);
+    fleet.fixture.table.script(faults);
     for step in steps {
         fleet.step(step);
     }
-    fleet.world.table.clear_script();
-    fleet.world.table.flush_late();
+    fleet.fixture.table.clear_script();
+    fleet.fixture.table.flush_late();
     fleet
 }
 
-/// Guards against two planners of a service, orders of a planner that lost its lease without
-/// knowing, early takeovers, and order numbers that are given twice.
+/// Guards against two planners that write orders for a service, orders by a planner that has lost
+/// its lease, takeovers before the lease duration ended, and order numbers that are used twice.
 #[test]
 fn at_most_one_holder_writes_orders() {
-    check_long(|steps, faults| {
-        after_history(steps, &faults).check_orders();
+    check_long_sequences(|steps, faults| {
+        after_steps(steps, &faults).check_orders();
         true
     });
 }
 
-/// Guards against a lease that nobody takes after its holder is gone.
+/// Guards against a lease that is never taken over after its holder has failed.
 #[test]
-fn lease_is_held_again_after_any_history() {
-    check_long(|steps, faults| {
-        let mut fleet = after_history(steps, &faults);
-        fleet.entries[0] = fleet.started();
-        // The other entries are gone; this one alone must get the lease.
+fn remaining_entry_acquires_the_lease_after_any_steps() {
+    check_long_sequences(|steps, faults| {
+        let mut fleet = after_steps(steps, &faults);
+        fleet.entries[0] = fleet.start_entry();
+        // The other entries no longer run.
         for _ in 0..60 {
             fleet.elapsed += ms(1000);
             fleet.handle(0, LeaseEvent::Tick);
@@ -286,10 +304,10 @@
     });
 }
 
-/// Guards against an observer that competes with the candidates, writes without need, keeps
-/// polling, or leaves the lease unused when all candidates are gone.
+/// Guards against an observer that competes with the candidates, writes or polls more than needed,
+/// or does not take over the lease when all candidates have failed.
 #[test]
-fn observer_looks_rarely_and_takes_the_lease_only_from_a_silent_holder() {
+fn observer_polls_rarely_and_takes_the_lease_only_from_a_failed_holder() {
     let mut fleet = Fleet::new();
     let mut calls = 0;
     let mut drive = |fleet: &mut Fleet, indexes: &[usize]| {
@@ -305,15 +323,15 @@
     for _ in 0..150 {
         drive(&mut fleet, &[2, 0]);
     }
-    assert!(fleet.entries[0].believed.is_some());
+    assert!(fleet.entries[0].last_held.is_some());
     assert_eq!(fleet.row().expect("held").1.fencing, 1);
-    for _ in 0..2 * LOOK_MS.as_secs() + 2 {
+    for _ in 0..2 * OBSERVER_POLL_MS.as_secs() + 2 {
         drive(&mut fleet, &[2]);
     }
     let held = fleet.entries[2]
-        .believed
+        .last_held
         .clone()
-        .expect("all others are gone");
+        .expect("the observer took over the lease");
     assert_eq!(held.fencing, 2);
     for _ in 0..30 {
         drive(&mut fleet, &[2]);
@@ -322,9 +340,9 @@
     assert!((10..35).contains(&calls), "{calls} calls");
 }
 
-/// Guards against a planned stop after which the lease stays unused for its whole duration.
+/// Guards against a released lease that is not acquired before its duration has ended.
 #[test]
-fn released_lease_is_taken_at_once() {
+fn released_lease_is_acquired_at_once() {
     let mut fleet = Fleet::new();
     let drive = |fleet: &mut Fleet, index: usize| {
         fleet.handle(index, LeaseEvent::Tick);
@@ -347,8 +365,8 @@
     assert_eq!(held.fencing, 2);
 }
 
-/// Guards against an entry that watches the row for a second whole duration because its first
-/// try to take the lease failed.
+/// Guards against an entry that waits for the lease duration a second time because its first
+/// attempt to take over the lease failed.
 #[test]
 fn failed_try_does_not_restart_the_wait() {
     let mut fleet = Fleet::new();
@@ -363,32 +381,32 @@
     for _ in 0..3 {
         drive(&mut fleet, 1);
     }
-    fleet.world.table.script([CallFault::LostRequest]);
+    fleet.fixture.table.script([CallFault::LostRequest]);
     for _ in 0..3 {
         drive(&mut fleet, 1);
     }
     assert!(fleet.entries[1].lease.held(fleet.now()).is_some());
 }
 
-/// Guards against a holder that plans on a lease that others may be about to take.
+/// Guards against a holder that plans shortly before another entry may take over the lease.
 #[test]
-fn holder_stops_planning_when_its_renewal_is_old() {
+fn lease_is_not_held_once_the_last_renewal_is_too_old() {
     let mut fleet = Fleet::new();
     fleet.handle(0, LeaseEvent::Tick);
     while !fleet.entries[0].replies.is_empty() {
         fleet.deliver(0);
     }
     assert!(fleet.entries[0].lease.held(fleet.now()).is_some());
-    fleet.world.table.set_outage(true);
+    fleet.fixture.table.set_outage(true);
     fleet.elapsed += DURATION_MS * 2 / 3;
     assert!(fleet.entries[0].lease.held(fleet.now()).is_none());
 }
 
-/// Guards against a holder that loses its lease because the reply to a renewal is lost.
+/// Guards against a holder that loses its lease when the reply to a renewal is lost.
 #[test]
 fn holder_keeps_its_lease_after_a_lost_reply() {
     let mut fleet = Fleet::new();
-    let table = Rc::clone(&fleet.world.table);
+    let table = Rc::clone(&fleet.fixture.table);
     for round in 0..30 {
         if round % 2 == 1 {
             table.lose_replies(1);
@@ -399,6 +417,6 @@
             fleet.deliver(0);
         }
     }
-    let held = fleet.entries[0].believed.clone().expect("held");
+    let held = fleet.entries[0].last_held.clone().expect("held");
     assert_eq!(held.fencing, 1);
 }
--- a/components/control/tests/rendezvous.rs
+++ b/components/control/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Ranking of entries for a lease.
+//! Selection of the candidates for a lease.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,17 +19,18 @@
     ports.iter().map(address).collect()
 }
 
-/// Guards against a lease that no entry polls, and against reads that grow with the entries.
+/// Guards against a lease without candidates, and against a number of candidates, and so of reads,
+/// that grows with the number of entries.
 #[test]
-fn has_the_stated_number_of_candidates_and_keeps_them_when_another_entry_leaves() {
+fn scope_keeps_its_candidates_when_another_entry_leaves() {
     fn property(scope: String, ports: Vec<u16>, leaver: u16) -> bool {
         let mut entries = addresses(&ports);
         entries.insert(SocketAddr::from(([10, 0, 0, 1], leaver)));
         let before = candidates(&scope, &entries);
-        let gone = SocketAddr::from(([10, 0, 0, 1], leaver));
-        entries.remove(&gone);
+        let left = SocketAddr::from(([10, 0, 0, 1], leaver));
+        entries.remove(&left);
         let after = candidates(&scope, &entries);
-        let kept = before.iter().filter(|e| **e != gone);
+        let kept = before.iter().filter(|e| **e != left);
         before.len() == LEASE_CANDIDATES.min(entries.len() + 1)
             && after.len() == LEASE_CANDIDATES.min(entries.len())
             && kept.clone().all(|e| after.contains(e))
@@ -37,20 +38,20 @@
     seeded::check().quickcheck(property as fn(String, Vec<u16>, u16) -> bool);
 }
 
-/// Guards against a few entries that get most of the leases.
+/// Guards against a few entries being candidates for most of the leases.
 #[test]
 fn spreads_scopes_over_entries() {
     let entries = addresses(&(0..30).collect::<Vec<u16>>());
-    let mut held = std::collections::BTreeMap::new();
+    let mut scopes = std::collections::BTreeMap::new();
     for scope in 0..300 {
         for entry in candidates(&format!("mesa-{scope}"), &entries) {
-            *held.entry(entry).or_insert(0) += 1;
+            *scopes.entry(entry).or_insert(0) += 1;
         }
     }
-    assert_eq!(held.len(), 30);
-    // 30 are expected, with a standard deviation of 5.4.
+    assert_eq!(scopes.len(), 30);
+    // Each entry is expected to be a candidate for 30 scopes, with a standard deviation of 5.4.
     assert!(
-        held.values().all(|count| (5..60).contains(count)),
-        "{held:?}"
+        scopes.values().all(|count| (5..60).contains(count)),
+        "{scopes:?}"
     );
 }
