--- a/components/control/src/command.rs
+++ b/components/control/src/command.rs
@@ -89,7 +89,7 @@
         /// Row key of the item.
         item: String,
     },
-    /// The item exists already.
+    /// The item already exists.
     Exists {
         /// Row key of the item.
         item: String,
--- a/components/control/src/keys.rs
+++ b/components/control/src/keys.rs
@@ -2,7 +2,7 @@
 
 use types::Revision;
 
-/// Row that holds the revision of the latest change.
+/// Key of the row that holds the revision of the latest change.
 pub const HEAD: &str = "head";
 /// Key prefix of log records.
 pub const LOG: &str = "log/";
@@ -17,37 +17,37 @@
 /// Key prefix of leases.
 pub const LEASE: &str = "lease/";
 
-/// Row of a log record. The revision is zero-padded, so that keys sort by revision.
+/// Key of a log record. The revision is zero-padded, so that keys sort by revision.
 #[must_use]
 pub fn log(revision: Revision) -> String {
     format!("{LOG}{revision:020}")
 }
 
-/// Row of a profile.
+/// Key of a profile.
 #[must_use]
 pub fn profile(name: &str) -> String {
     format!("{PROFILE}{name}")
 }
 
-/// Row of a service.
+/// Key of a service.
 #[must_use]
 pub fn service(name: &str) -> String {
     format!("{SERVICE}{name}")
 }
 
-/// Row of a target.
+/// Key of a target.
 #[must_use]
 pub fn target(name: &str) -> String {
     format!("{TARGET}{name}")
 }
 
-/// Row of the latest order to a target.
+/// Key of the latest order to a target.
 #[must_use]
 pub fn order(target: &str) -> String {
     format!("{ORDER}{target}")
 }
 
-/// Row of a lease.
+/// Key of a lease.
 #[must_use]
 pub fn lease(scope: &str) -> String {
     format!("{LEASE}{scope}")
--- a/components/control/src/lease.rs
+++ b/components/control/src/lease.rs
@@ -52,7 +52,7 @@
     /// When this version was first read; it was written before this time.
     since: Instant,
     /// When this version was last read.
-    last: Instant,
+    last_read: Instant,
 }
 
 /// State machine for one lease in one entry.
@@ -64,13 +64,13 @@
     /// Time between two reads of the row while the lease is not held.
     poll_ms: Duration,
     random: StdRng,
-    seen: Option<ObservedRow>,
+    observed: Option<ObservedRow>,
     /// The outcome of the last write is unknown, so the row is read before the next write.
     in_doubt: bool,
     held: Option<HeldLease>,
     /// When the last successful write of the lease was sent.
     renewal_sent: Option<Instant>,
-    releasing: bool,
+    is_releasing: bool,
     call: Option<(u64, Instant, Call)>,
     last_operation: u64,
     next_call: Instant,
@@ -93,11 +93,11 @@
             duration_ms,
             poll_ms: duration_ms / 3,
             random: StdRng::seed_from_u64(seed),
-            seen: None,
+            observed: None,
             in_doubt: false,
             held: None,
             renewal_sent: None,
-            releasing: false,
+            is_releasing: false,
             call: None,
             last_operation: 0,
             next_call: now,
@@ -120,7 +120,9 @@
     pub fn held(&self, now: Instant) -> Option<&HeldLease> {
         let renewal_sent = self.renewal_sent?;
         let is_fresh = now.saturating_duration_since(renewal_sent) < self.duration_ms * 2 / 3;
-        self.held.as_ref().filter(|_| is_fresh && !self.releasing)
+        self.held
+            .as_ref()
+            .filter(|_| is_fresh && !self.is_releasing)
     }
 
     /// When the next [`LeaseEvent::Tick`] is due.
@@ -135,7 +137,7 @@
     /// Whether a release was requested and the lease is no longer held.
     #[must_use]
     pub fn is_released(&self) -> bool {
-        self.releasing && self.held.is_none()
+        self.is_releasing && self.held.is_none()
     }
 
     /// Handles one event.
@@ -144,7 +146,7 @@
         match event {
             LeaseEvent::Tick => {}
             LeaseEvent::Release => {
-                self.releasing = true;
+                self.is_releasing = true;
                 self.next_call = now;
             }
             LeaseEvent::TableDone { operation, result } => {
@@ -169,8 +171,8 @@
         let operation = self.last_operation;
         let write = self.next_write(now);
         self.schedule(now, write.is_some() || self.in_doubt);
-        let request = match (&write, &self.seen) {
-            (Some(row), Some(seen)) => self.commit(*row, seen.version),
+        let request = match (&write, &self.observed) {
+            (Some(row), Some(observed)) => self.commit(*row, observed.version),
             _ => TableRequest::Read(vec![keys::lease(&self.scope)]),
         };
         let call = write.map_or(Call::Read, Call::Write);
@@ -181,17 +183,17 @@
     /// Row value to write now; `None` if the row must be read first, is held by another entry, or
     /// needs no write.
     fn next_write(&self, now: Instant) -> Option<LeaseRow> {
-        let seen = self.seen.filter(|_| !self.in_doubt)?;
-        let Some(row) = seen.row else {
-            let is_free = !self.is_observer() || self.is_unchanged(now, seen);
-            return (is_free && !self.releasing).then_some(LeaseRow {
+        let observed = self.observed.filter(|_| !self.in_doubt)?;
+        let Some(row) = observed.row else {
+            let is_free = !self.is_observer() || self.is_unchanged(now, observed);
+            return (is_free && !self.is_releasing).then_some(LeaseRow {
                 holder: self.own_incarnation,
                 fencing: 1,
                 renewal: 1,
             });
         };
         let renewal = row.renewal + 1;
-        if self.releasing {
+        if self.is_releasing {
             return (row.holder == self.own_incarnation).then_some(LeaseRow {
                 holder: 0,
                 renewal,
@@ -202,7 +204,7 @@
             return Some(LeaseRow { renewal, ..row });
         }
         let is_free = row.holder == 0 && !self.is_observer();
-        (is_free || self.is_unchanged(now, seen)).then_some(LeaseRow {
+        (is_free || self.is_unchanged(now, observed)).then_some(LeaseRow {
             holder: self.own_incarnation,
             fencing: row.fencing + 1,
             renewal,
@@ -211,9 +213,9 @@
 
     /// Whether the row was unchanged for the lease duration. An observer must also have read it
     /// recently, because a write that checks an old version fails.
-    fn is_unchanged(&self, now: Instant, seen: ObservedRow) -> bool {
-        let is_recent = now.saturating_duration_since(seen.last) < self.duration_ms / 3;
-        let is_old = now.saturating_duration_since(seen.since) >= self.duration_ms;
+    fn is_unchanged(&self, now: Instant, observed: ObservedRow) -> bool {
+        let is_recent = now.saturating_duration_since(observed.last_read) < self.duration_ms / 3;
+        let is_old = now.saturating_duration_since(observed.since) >= self.duration_ms;
         is_old && (is_recent || !self.is_observer())
     }
 
@@ -269,16 +271,16 @@
             return;
         };
         let since = self
-            .seen
-            .filter(|seen| seen.version == version)
-            .map_or(now, |seen| seen.since);
-        let seen = ObservedRow {
+            .observed
+            .filter(|observed| observed.version == version)
+            .map_or(now, |observed| observed.since);
+        let observed = ObservedRow {
             version,
             row: value,
             since,
-            last: now,
+            last_read: now,
         };
-        self.seen = Some(seen);
+        self.observed = Some(observed);
         let is_own = value.is_some_and(|row| {
             row.holder == self.own_incarnation
                 && self
@@ -294,12 +296,12 @@
             self.renewal_sent = None;
             actions.push(LeaseAction::Lost);
         }
-        if self.releasing && !is_own {
+        if self.is_releasing && !is_own {
             self.held = None;
         }
         let is_free = value.is_none_or(|row| row.holder == 0);
-        if self.is_observer() && !self.releasing {
-            if self.is_unchanged(now, seen) {
+        if self.is_observer() && !self.is_releasing {
+            if self.is_unchanged(now, observed) {
                 self.next_call = now;
             } else if is_free {
                 self.next_call = since + self.duration_ms;
@@ -319,11 +321,11 @@
         actions: &mut Vec<LeaseAction>,
     ) {
         let version = version.unwrap_or(0);
-        self.seen = (version != 0).then_some(ObservedRow {
+        self.observed = (version != 0).then_some(ObservedRow {
             version,
             row: Some(row),
             since: now,
-            last: now,
+            last_read: now,
         });
         if row.holder == 0 {
             if self.held.take().is_some() {
--- a/components/control/src/peers.rs
+++ b/components/control/src/peers.rs
@@ -41,7 +41,7 @@
 }
 
 impl PeerAnswer {
-    /// Revision that the sender has applied, or that its snapshot has.
+    /// Revision that the sender has applied.
     #[must_use]
     pub fn head(&self) -> Revision {
         match self {
--- a/components/planner/benches/plan.rs
+++ b/components/planner/benches/plan.rs
@@ -49,8 +49,8 @@
             applied: 0,
         })
         .collect();
-    // The demand exceeds the capacity, so that every step of a decision runs. The weight that the
-    // benchmarks pass is so high that no role changes.
+    // The demand exceeds the capacity. The weight that the benchmarks pass is so high that no role
+    // changes.
     for dispatch in 0..60 {
         now += Duration::from_secs(1);
         let attempt = AttemptId {
