--- a/components/control/src/keys.rs
+++ b/components/control/src/keys.rs
@@ -2,52 +2,52 @@
 
 use types::Revision;
 
-/// Row that holds the revision of the latest change.
+/// Key of the row that holds the revision of the latest change.
 pub const HEAD: &str = "head";
-/// Start of the keys of log records.
+/// Key prefix of log records.
 pub const LOG: &str = "log/";
-/// Start of the keys of profiles.
+/// Key prefix of profiles.
 pub const PROFILE: &str = "profile/";
-/// Start of the keys of services.
+/// Key prefix of services.
 pub const SERVICE: &str = "service/";
-/// Start of the keys of targets.
+/// Key prefix of targets.
 pub const TARGET: &str = "target/";
-/// Start of the keys of orders.
+/// Key prefix of orders.
 pub const ORDER: &str = "order/";
-/// Start of the keys of leases.
+/// Key prefix of leases.
 pub const LEASE: &str = "lease/";
 
-/// Log record of a revision. Padded, so that the order of keys is the order of revisions.
+/// Key of a log record. The revision is zero-padded, so that keys sort by revision.
 #[must_use]
 pub fn log(revision: Revision) -> String {
     format!("{LOG}{revision:020}")
 }
 
-/// Row of a profile.
+/// Key of a profile.
 #[must_use]
 pub fn profile(name: &str) -> String {
     format!("{PROFILE}{name}")
 }
 
-/// Row of a service.
+/// Key of a service.
 #[must_use]
 pub fn service(name: &str) -> String {
     format!("{SERVICE}{name}")
 }
 
-/// Row of a target.
+/// Key of a target.
 #[must_use]
 pub fn target(name: &str) -> String {
     format!("{TARGET}{name}")
 }
 
-/// Row of the latest order to a target.
+/// Key of the latest order to a target.
 #[must_use]
 pub fn order(target: &str) -> String {
     format!("{ORDER}{target}")
 }
 
-/// Row of a lease.
+/// Key of a lease.
 #[must_use]
 pub fn lease(scope: &str) -> String {
     format!("{LEASE}{scope}")
