--- a/components/http/examples/load.rs
+++ b/components/http/examples/load.rs
@@ -1,4 +1,5 @@
-//! Closed-loop load on one address, for speed comparisons within one run.
+//! Closed-loop load generator for one address. Results are comparable only within one session on
+//! one machine.
 //!
 //! Usage: `cargo run --release -p http --example load -- ADDR PATH CALLERS SECONDS [BODY]`
 
@@ -13,7 +14,7 @@
 use smol::LocalExecutor;
 
 #[derive(Default)]
-struct Tally {
+struct Results {
     latencies: Vec<Duration>,
     failures: usize,
 }
@@ -26,16 +27,16 @@
     };
     let client = Client::new(addr.parse().expect("ADDR"), ClientLimits::default());
     let callers: usize = callers.parse().expect("CALLERS");
-    let length = Duration::from_secs(seconds.parse().expect("SECONDS"));
+    let duration = Duration::from_secs(seconds.parse().expect("SECONDS"));
     let body = arguments.get(4).cloned();
-    let tally = Rc::new(RefCell::new(Tally::default()));
+    let results = Rc::new(RefCell::new(Results::default()));
     let executor = Rc::new(LocalExecutor::new());
     let start = Instant::now();
     let tasks: Vec<_> = (0..callers)
         .map(|_| {
-            let call = call(client.clone(), path.clone(), body.clone(), tally.clone());
+            let call = call(client.clone(), path.clone(), body.clone(), results.clone());
             executor.spawn(async move {
-                while start.elapsed() < length {
+                while start.elapsed() < duration {
                     call().await;
                 }
             })
@@ -46,14 +47,14 @@
             task.await;
         }
     }));
-    report(&mut tally.borrow_mut(), start.elapsed());
+    report(&mut results.borrow_mut(), start.elapsed());
 }
 
 fn call(
     client: Client,
     path: String,
     body: Option<String>,
-    tally: Rc<RefCell<Tally>>,
+    results: Rc<RefCell<Results>>,
 ) -> impl AsyncFn() {
     async move || {
         let method = if body.is_some() {
@@ -68,29 +69,29 @@
         }
         let sent = Instant::now();
         let result = client.send_whole(request).await;
-        let mut tally = tally.borrow_mut();
+        let mut results = results.borrow_mut();
         match result {
-            Ok(answer) if answer.status.is_success() => tally.latencies.push(sent.elapsed()),
-            _ => tally.failures += 1,
+            Ok(answer) if answer.status.is_success() => results.latencies.push(sent.elapsed()),
+            _ => results.failures += 1,
         }
     }
 }
 
-fn report(tally: &mut Tally, elapsed: Duration) {
-    tally.latencies.sort_unstable();
-    let count = tally.latencies.len();
-    let at = |share: usize| {
-        tally
+fn report(results: &mut Results, elapsed: Duration) {
+    results.latencies.sort_unstable();
+    let count = results.latencies.len();
+    let percentile = |percent: usize| {
+        results
             .latencies
-            .get(count * share / 100)
+            .get(count * percent / 100)
             .copied()
             .unwrap_or_default()
     };
     println!(
         "answers {count}, failures {}, per second {:.0}, median {:?}, 95th percentile {:?}",
-        tally.failures,
+        results.failures,
         f64::from(u32::try_from(count).unwrap_or(u32::MAX)) / elapsed.as_secs_f64(),
-        at(50),
-        at(95)
+        percentile(50),
+        percentile(95)
     );
 }
--- a/components/http/src/body.rs
+++ b/components/http/src/body.rs
@@ -1,46 +1,47 @@
-//! Decoder of message bodies, by announced length or in chunks.
+//! Decoder of message bodies: `Content-Length`, chunked, or until the connection closes.
 
 use std::fmt;
 
-/// Longest line with the size of a chunk, extensions included.
+/// Longest chunk size line, including chunk extensions.
 const SIZE_LINE_LIMIT_BYTES: usize = 256;
-/// Longest trailer section; trailers are read and dropped.
+/// Longest trailer section; trailers are read and discarded.
 const TRAILER_LIMIT_BYTES: usize = 4096;
 
-/// How the end of a body is found.
+/// How the end of a message body is determined (RFC 9112, section 6.3).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// `Content-Length`; 0 without a body.
+    /// `Content-Length`; 0 for a message without a body.
     Length(u64),
     /// `Transfer-Encoding: chunked`.
     Chunked,
-    /// Neither; the body of an answer ends where the peer closes the connection.
+    /// Neither; the body of a response ends when the peer closes the connection.
     UntilClose,
 }
 
-/// A body that is not framed as HTTP demands.
+/// Violation of the chunked transfer encoding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// The size of a chunk is no hexadecimal number below 2^60.
+    /// The size of a chunk is not a hexadecimal number below 2^60, or its line is too long.
     ChunkSize,
     /// A chunk or a line does not end with CR LF.
     LineEnd,
-    /// The trailers are too long.
+    /// The trailer section is too long.
     Trailers,
 }
 
 impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::ChunkSize => "the size of a chunk is not a hexadecimal number",
-            Self::LineEnd => "a chunk does not end with CR LF",
-            Self::Trailers => "the trailers are too long",
+            Self::ChunkSize => "a chunk size is not a hexadecimal number below 2^60",
+            Self::LineEnd => "a chunk or a line of the chunked encoding does not end with CR LF",
+            Self::Trailers => "the trailer section is too long",
         })
     }
 }
 
 impl std::error::Error for BodyError {}
 
+/// What the decoder expects next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Data,
@@ -65,7 +66,7 @@
 }
 
 impl BodyDecoder {
-    /// Starts before the first byte of a body.
+    /// A decoder at the first byte of a body.
     #[must_use]
     pub fn new(framing: Framing) -> Self {
         match framing {
@@ -91,13 +92,14 @@
         }
     }
 
-    /// Whether the whole body was decoded.
+    /// Whether the end of the body was decoded.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Appends decoded bytes to `out` and returns how many bytes of `input` belong to the body.
+    /// Appends decoded data to `out` and returns how many bytes of `input` were consumed. Bytes
+    /// after the end of the body are not consumed.
     ///
     /// # Errors
     ///
@@ -106,7 +108,7 @@
         let mut at = 0;
         while at < input.len() && !self.is_done() {
             if matches!(self.state, State::Data | State::ChunkData) {
-                at += self.copy(&input[at..], out);
+                at += self.copy_data(&input[at..], out);
             } else {
                 self.state = self.step(input[at])?;
                 at += 1;
@@ -115,7 +117,7 @@
         Ok(at)
     }
 
-    fn copy(&mut self, input: &[u8], out: &mut Vec<u8>) -> usize {
+    fn copy_data(&mut self, input: &[u8], out: &mut Vec<u8>) -> usize {
         let left = usize::try_from(self.remaining).unwrap_or(usize::MAX);
         let count = input.len().min(left);
         out.extend_from_slice(&input[..count]);
@@ -141,11 +143,11 @@
                 }),
             },
             State::SizeLf if self.remaining == 0 => {
-                expect(byte, b'\n', State::TrailerStart { bytes: 0 })
+                expect_byte(byte, b'\n', State::TrailerStart { bytes: 0 })
             }
-            State::SizeLf => expect(byte, b'\n', State::ChunkData),
-            State::ChunkCr => expect(byte, b'\r', State::ChunkLf),
-            State::ChunkLf => expect(
+            State::SizeLf => expect_byte(byte, b'\n', State::ChunkData),
+            State::ChunkCr => expect_byte(byte, b'\r', State::ChunkLf),
+            State::ChunkLf => expect_byte(
                 byte,
                 b'\n',
                 State::Size {
@@ -160,15 +162,15 @@
                 _ if bytes >= TRAILER_LIMIT_BYTES => Err(BodyError::Trailers),
                 _ => Ok(State::TrailerLine { bytes: bytes + 1 }),
             },
-            State::TrailerLf { bytes } => expect(byte, b'\n', State::TrailerStart { bytes }),
-            State::LastLf => expect(byte, b'\n', State::Done),
+            State::TrailerLf { bytes } => expect_byte(byte, b'\n', State::TrailerStart { bytes }),
+            State::LastLf => expect_byte(byte, b'\n', State::Done),
             State::Data | State::ChunkData | State::Done => Ok(self.state),
         }
     }
 
     fn step_size(&mut self, byte: u8, digits: u8, line_bytes: usize) -> Result<State, BodyError> {
         if let Some(digit) = char::from(byte).to_digit(16) {
-            // 15 digits cannot overflow 64 bits.
+            // A size of 15 hexadecimal digits fits into 64 bits.
             if digits >= 15 {
                 return Err(BodyError::ChunkSize);
             }
@@ -187,7 +189,7 @@
     }
 }
 
-fn expect(byte: u8, expected: u8, next: State) -> Result<State, BodyError> {
+fn expect_byte(byte: u8, expected: u8, next: State) -> Result<State, BodyError> {
     if byte == expected {
         Ok(next)
     } else {
--- a/components/http/src/client.rs
+++ b/components/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Client with a keep-alive pool for one address.
+//! Client for one server address, with a pool of keep-alive connections.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -24,29 +24,29 @@
 use smol::net::TcpStream;
 
 use crate::error::ClientError;
-use crate::input::Input;
 use crate::limits::ClientLimits;
 use crate::response;
 use crate::response::Expected;
 use crate::response::StreamingResponse;
 use crate::response::WholeResponse;
+use crate::socket_reader::SocketReader;
 use crate::watchdog::Watchdog;
 
-/// Keepalive probes without an answer after which a peer is taken for gone.
-const LOST_PROBES: u32 = 2;
+/// Number of unacknowledged TCP keepalive probes after which the connection fails.
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// A connection between two requests.
+/// An open connection without a request in progress.
 #[derive(Debug)]
-pub(crate) struct Idle {
+pub(crate) struct IdleConnection {
     pub(crate) stream: TcpStream,
-    pub(crate) receiving: Input,
+    pub(crate) reader: SocketReader,
     pub(crate) watchdog: Watchdog,
     pub(crate) since: Instant,
 }
 
-pub(crate) type Pool = Rc<RefCell<Vec<Idle>>>;
+pub(crate) type Pool = Rc<RefCell<Vec<IdleConnection>>>;
 
-/// Client of one address; clones share the pool.
+/// Client for one server address; clones share the connection pool.
 #[derive(Debug, Clone)]
 pub struct Client {
     addr: SocketAddr,
@@ -54,17 +54,17 @@
     pool: Pool,
 }
 
-/// A connection in use, and whether it was used before.
+/// A connection with a request in progress.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
-    pub(crate) receiving: Input,
+    pub(crate) reader: SocketReader,
     pub(crate) watchdog: Watchdog,
-    reused: bool,
+    is_reused: bool,
 }
 
 impl Client {
-    /// A client without open connections.
+    /// A client with an empty pool; connections are opened when a request needs one.
     #[must_use]
     pub fn new(addr: SocketAddr, limits: ClientLimits) -> Self {
         Self {
@@ -74,17 +74,17 @@
         }
     }
 
-    /// Address that requests are sent to.
+    /// Address of the server.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// A request for a path with an optional query, without fields or body.
+    /// Builds a request for a path with an optional query, without header fields or body.
     ///
     /// # Errors
     ///
-    /// `NotSent` if the path is no part of a URL.
+    /// `NotSent` if the path is not valid in a URL.
     pub fn request(&self, method: Method, path: &str) -> Result<Request, ClientError> {
         let slash = if path.starts_with('/') { "" } else { "/" };
         let url = Url::parse(&format!("http://{}{slash}{path}", self.addr))
@@ -92,20 +92,20 @@
         Ok(Request::new(method, url))
     }
 
-    /// Sends a request and collects the whole answer.
+    /// Sends a request and buffers the complete response.
     ///
     /// # Errors
     ///
-    /// `NotSent` if no byte was sent, otherwise `Interrupted`; a body that is cut short or larger
-    /// than `body_limit_bytes` is an error.
+    /// `NotSent` if no byte was sent, otherwise `Interrupted`; also if the body is truncated or
+    /// larger than `body_limit_bytes`.
     pub async fn send_whole(&self, request: Request) -> Result<WholeResponse, ClientError> {
         self.send(request).await?.into_whole().await
     }
 
-    /// Sends a request and returns when the head of the answer has arrived.
+    /// Sends a request and returns when the head of the response has arrived.
     ///
-    /// A request is sent a second time only if it is a GET or HEAD and a connection from the pool
-    /// was closed before any byte of the answer.
+    /// Only a GET or HEAD request is retried, and only if a pooled connection was closed before
+    /// the first byte of the response.
     ///
     /// # Errors
     ///
@@ -114,9 +114,9 @@
         let method = request.method();
         let body = request.take_body();
         let body = body.into_bytes().await.map_err(ClientError::not_sent)?;
-        let media_type = request.header("content-type").is_some();
+        let has_content_type = request.header("content-type").is_some();
         request.set_body(Body::from_bytes(body));
-        if !media_type {
+        if !has_content_type {
             request.remove_header("content-type");
         }
         let mut bytes = Vec::new();
@@ -124,12 +124,12 @@
             .read_to_end(&mut bytes)
             .await
             .map_err(ClientError::not_sent)?;
-        let repeatable = matches!(method, Method::Get | Method::Head);
+        let is_retryable = matches!(method, Method::Get | Method::Head);
         loop {
             let connection = self.connect().await?;
-            let reused = connection.reused;
+            let is_reused = connection.is_reused;
             match self.exchange(connection, &bytes, method).await {
-                Err((_, no_answer)) if reused && no_answer && repeatable => {}
+                Err((_, is_unanswered)) if is_reused && is_unanswered && is_retryable => {}
                 Err((error, _)) => return Err(error),
                 Ok(response) => return Ok(response),
             }
@@ -144,9 +144,9 @@
             if idle.since.elapsed() < self.limits.idle_ms && is_open(&mut idle.stream).await {
                 return Ok(Connection {
                     stream: idle.stream,
-                    receiving: idle.receiving,
+                    reader: idle.reader,
                     watchdog: idle.watchdog,
-                    reused: true,
+                    is_reused: true,
                 });
             }
         }
@@ -155,27 +155,27 @@
                 .await
                 .map_err(ClientError::not_sent)
         };
-        let give_up = async {
+        let timeout = async {
             Timer::after(self.limits.connect_ms).await;
             Err(ClientError::not_sent(
-                "the connection was not opened in time",
+                "timed out while opening the connection",
             ))
         };
-        let stream = connect.or(give_up).await?;
+        let stream = connect.or(timeout).await?;
         let _ = stream.set_nodelay(true);
         if let Some(interval) = self.limits.probe_ms {
-            probe_peer(&stream, interval).map_err(ClientError::not_sent)?;
+            enable_keepalive(&stream, interval).map_err(ClientError::not_sent)?;
         }
         Ok(Connection {
-            receiving: Input::new(&stream),
+            reader: SocketReader::new(&stream),
             stream,
             watchdog: Watchdog::default(),
-            reused: false,
+            is_reused: false,
         })
     }
 
-    /// Sends a request whose head is encoded already, and returns when the head of the answer has
-    /// arrived. Nothing is sent a second time. Answers for which `is_own` is false are dropped.
+    /// Sends a request with an already encoded head and returns when the head of the response has
+    /// arrived. Nothing is retried. Responses for which `is_match` is false are discarded.
     ///
     /// # Errors
     ///
@@ -184,27 +184,27 @@
         &self,
         head: &[u8],
         body: &[u8],
-        head_only: bool,
-        is_own: impl Fn(&Headers) -> bool,
+        is_head_only: bool,
+        is_match: impl Fn(&Headers) -> bool,
     ) -> Result<StreamingResponse, ClientError> {
         let mut connection = self.connect().await?;
         connection.watchdog.set(self.limits.head_ms);
         let bytes = [head, body].concat();
         let mut input = Vec::new();
-        let request_written = write_until_answered(&mut connection, &bytes, &mut input)
+        let has_sent_request = write_until_response(&mut connection, &bytes, &mut input)
             .await
             .map_err(|(error, _)| error)?;
         let expected = Expected {
-            head_only,
-            request_written,
-            is_own: &is_own,
+            is_head_only,
+            has_sent_request,
+            is_match: &is_match,
         };
         response::read_head(connection, input, self.limits, self.pool.clone(), expected)
             .await
             .map_err(|(error, _)| error)
     }
 
-    /// The error comes with whether the connection ended without a byte of the answer.
+    /// The error comes with a flag: the connection failed before the first byte of the response.
     async fn exchange(
         &self,
         mut connection: Connection,
@@ -213,25 +213,25 @@
     ) -> Result<StreamingResponse, (ClientError, bool)> {
         connection.watchdog.set(self.limits.head_ms);
         let mut input = Vec::new();
-        let request_written = write_until_answered(&mut connection, bytes, &mut input).await?;
+        let has_sent_request = write_until_response(&mut connection, bytes, &mut input).await?;
         let expected = Expected {
-            head_only: method == Method::Head,
-            request_written,
-            is_own: &|_| true,
+            is_head_only: method == Method::Head,
+            has_sent_request,
+            is_match: &|_| true,
         };
         response::read_head(connection, input, self.limits, self.pool.clone(), expected).await
     }
 }
 
-/// Whether the server has neither closed the connection nor sent bytes that nobody asked for.
+/// Whether the server has neither closed the connection nor sent bytes without a request.
 async fn is_open(stream: &mut TcpStream) -> bool {
     let mut byte = [0; 1];
     poll_once(stream.read(&mut byte)).await.is_none()
 }
 
-/// Writes a request, but stops when bytes of an answer arrive before its end. Returns whether all
-/// was written.
-async fn write_until_answered(
+/// Writes a request, but stops when bytes of the response arrive before its end. Returns whether
+/// the request was written completely.
+async fn write_until_response(
     connection: &mut Connection,
     bytes: &[u8],
     input: &mut Vec<u8>,
@@ -248,16 +248,16 @@
         while written < bytes.len() {
             match Pin::new(&mut connection.stream).poll_write(cx, &bytes[written..]) {
                 Poll::Ready(Ok(count)) if count > 0 => written += count,
-                Poll::Ready(Ok(_)) => return Poll::Ready(Err(failed(written, &"closed"))),
+                Poll::Ready(Ok(_)) => return Poll::Ready(Err(failed(written, &"closed by peer"))),
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(failed(written, &error))),
                 Poll::Pending => {
                     let mut chunk = [0; 4 << 10];
-                    match connection.receiving.poll_read(cx, &mut chunk) {
+                    match connection.reader.poll_read(cx, &mut chunk) {
                         Poll::Ready(Ok(count)) if count > 0 => {
                             input.extend_from_slice(&chunk[..count]);
                             return Poll::Ready(Ok(false));
                         }
-                        Poll::Ready(Ok(_)) => return Poll::Ready(Err(failed(written, &"closed"))),
+                        Poll::Ready(Ok(_)) => return Poll::Ready(Err(failed(written, &"EOF"))),
                         Poll::Ready(Err(error)) => {
                             return Poll::Ready(Err(failed(written, &error)));
                         }
@@ -266,7 +266,7 @@
                     return connection
                         .watchdog
                         .poll_expired(cx)
-                        .map(|()| Err(failed(written, &"the request was not taken in time")));
+                        .map(|()| Err(failed(written, &"timed out writing the request")));
                 }
             }
         }
@@ -275,25 +275,26 @@
     .await
 }
 
-/// Lets the kernel find out whether the peer is still there.
-fn probe_peer(stream: &TcpStream, interval: Duration) -> rustix::io::Result<()> {
+/// Enables TCP keepalive, and a limit on the time that sent data stays unacknowledged, so that
+/// the kernel detects an unreachable peer.
+fn enable_keepalive(stream: &TcpStream, interval: Duration) -> rustix::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, interval)?;
     sockopt::set_tcp_keepintvl(stream, interval)?;
-    sockopt::set_tcp_keepcnt(stream, LOST_PROBES)?;
-    let unacknowledged = interval * (LOST_PROBES + 1);
-    let unacknowledged = u32::try_from(unacknowledged.as_millis()).unwrap_or(u32::MAX);
-    sockopt::set_tcp_user_timeout(stream, unacknowledged)
+    sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES)?;
+    let user_timeout = interval * (KEEPALIVE_PROBES + 1);
+    let user_timeout_ms = u32::try_from(user_timeout.as_millis()).unwrap_or(u32::MAX);
+    sockopt::set_tcp_user_timeout(stream, user_timeout_ms)
 }
 
-/// Reads more bytes into `input`; 0 at the end of the connection.
+/// Appends bytes from the connection to `input`; returns 0 at the end of the stream.
 pub(crate) async fn read_more(
     connection: &mut Connection,
     input: &mut Vec<u8>,
 ) -> Result<usize, ClientError> {
     poll_fn(|cx| {
         let mut chunk = [0; 16 << 10];
-        match connection.receiving.poll_read(cx, &mut chunk) {
+        match connection.reader.poll_read(cx, &mut chunk) {
             Poll::Ready(Ok(count)) => {
                 input.extend_from_slice(&chunk[..count]);
                 Poll::Ready(Ok(count))
@@ -302,7 +303,7 @@
             Poll::Pending => connection
                 .watchdog
                 .poll_expired(cx)
-                .map(|()| Err(ClientError::interrupted("no byte arrived in time"))),
+                .map(|()| Err(ClientError::interrupted("timed out waiting for data"))),
         }
     })
     .await
--- a/components/http/src/connection.rs
+++ b/components/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! A server connection: one request after the other.
+//! Server side of a connection, which handles its requests in sequence.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -20,7 +20,7 @@
 use crate::body::Framing;
 use crate::error::HungUp;
 use crate::exchange::Exchange;
-use crate::exchange::Progress;
+use crate::exchange::ResponseState;
 use crate::head::Head;
 use crate::head::HeadError;
 use crate::head::parse_head;
@@ -28,33 +28,34 @@
 use crate::server::Handler;
 use crate::server::Request;
 
-/// Longest time for which bytes of a refused request are read and dropped. Closing a socket with
-/// unread bytes resets the connection, and the peer might lose the answer.
+/// Longest duration of a lingering close, in which the rest of a rejected request is read and
+/// discarded. Closing a socket with unread bytes resets the connection, and the peer might lose the
+/// response.
 const LINGER_MS: Duration = Duration::from_secs(2);
-/// Time after which a caller comes back if no more bodies can be held.
+/// `Retry-After` of a request that exceeds the limit on buffered bodies.
 const OVERLOADED_RETRY_MS: Duration = Duration::from_secs(1);
-/// Answer to `Expect: 100-continue`.
+/// Interim response to `Expect: 100-continue`.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// What became of reading a request.
+/// Result of reading a request.
 enum Incoming {
-    /// A whole request, and its share of the held bodies.
-    Request(Box<Head>, Vec<u8>, Held),
-    /// Answered with a problem; the bytes after it cannot be trusted.
-    Refused(Problem),
-    /// Answered with a problem; the next request can be read.
-    RefusedAtBoundary(Problem),
-    /// Closed, idle for too long, or stopping.
+    /// A complete request, and its share of the limit on buffered bodies.
+    Request(Box<Head>, Vec<u8>, BodyReservation),
+    /// Rejected; the start of the next request is unknown, so the connection must close.
+    Rejected(Problem),
+    /// Rejected, but without a body; the next request can be read.
+    RejectedWithoutBody(Problem),
+    /// The peer closed the connection, it was idle for too long, or the server is stopping.
     Closed,
 }
 
 pub(crate) async fn run(mut exchange: Exchange, handler: Rc<dyn Handler>, stop: Receiver<()>) {
     let _ = exchange.stream.set_nodelay(true);
     loop {
-        exchange.progress = Progress::Awaited;
-        exchange.head_only = false;
+        exchange.response_state = ResponseState::NotStarted;
+        exchange.is_head_only = false;
         match read_request(&mut exchange, &*handler, &stop).await {
-            Incoming::Request(head, body, _share) => {
+            Incoming::Request(head, body, _reservation) => {
                 let request = Request {
                     head: head.request,
                     target: head.target,
@@ -62,38 +63,38 @@
                     body,
                     peer: exchange.peer,
                 };
-                exchange.close = head.close || stop.is_closed();
+                exchange.is_closing = head.is_close_requested || stop.is_closed();
                 handler.handle(request, &mut exchange).await;
-                answer_unanswered(&mut exchange).await;
+                respond_if_unanswered(&mut exchange).await;
             }
-            Incoming::RefusedAtBoundary(problem) => {
-                exchange.close |= stop.is_closed();
+            Incoming::RejectedWithoutBody(problem) => {
+                exchange.is_closing |= stop.is_closed();
                 let (head, body) = problem.to_answer();
                 let _ = exchange.respond(head, &body).await;
             }
-            Incoming::Refused(problem) => {
-                exchange.close = true;
+            Incoming::Rejected(problem) => {
+                exchange.is_closing = true;
                 let (head, body) = problem.to_answer();
                 if exchange.respond(head, &body).await.is_ok() {
-                    linger(&mut exchange).await;
+                    lingering_close(&mut exchange).await;
                 }
                 return;
             }
             Incoming::Closed => return,
         }
-        if exchange.progress != Progress::Whole {
+        if exchange.response_state != ResponseState::Complete {
             exchange.abort();
             return;
         }
-        if exchange.close {
+        if exchange.is_closing {
             return;
         }
     }
 }
 
-async fn answer_unanswered(exchange: &mut Exchange) {
-    if exchange.progress == Progress::Awaited {
-        let (head, body) = Problem::new(500, "internal", "the request was left unanswered")
+async fn respond_if_unanswered(exchange: &mut Exchange) {
+    if exchange.response_state == ResponseState::NotStarted {
+        let (head, body) = Problem::new(500, "internal", "the handler returned without a response")
             .run(RunState::Unknown)
             .to_answer();
         let _ = exchange.respond(head, &body).await;
@@ -108,69 +109,72 @@
     let head = match read_head(exchange, stop).await {
         Ok(Some(head)) => head,
         Ok(None) => return Incoming::Closed,
-        Err(error) => return Incoming::Refused(head_problem(&error)),
+        Err(error) => return Incoming::Rejected(head_problem(&error)),
     };
-    exchange.head_only = head.request.method() == Method::Head;
-    exchange.close = head.close;
+    exchange.is_head_only = head.request.method() == Method::Head;
+    exchange.is_closing = head.is_close_requested;
     let no_body = head.framing == Framing::Length(0);
     let limit_bytes = match handler.admit(&head.request) {
         Ok(limit_bytes) => limit_bytes,
-        Err(problem) if no_body => return Incoming::RefusedAtBoundary(problem),
-        Err(problem) => return Incoming::Refused(problem),
+        Err(problem) if no_body => return Incoming::RejectedWithoutBody(problem),
+        Err(problem) => return Incoming::Rejected(problem),
     };
     if no_body {
-        let share = Held::new(exchange);
-        return Incoming::Request(Box::new(head), Vec::new(), share);
+        let reservation = BodyReservation::new(exchange);
+        return Incoming::Request(Box::new(head), Vec::new(), reservation);
     }
-    let mut share = Held::new(exchange);
-    match read_body(exchange, &head, limit_bytes, &mut share).await {
-        Ok(Some(body)) => Incoming::Request(Box::new(head), body, share),
+    let mut reservation = BodyReservation::new(exchange);
+    match read_body(exchange, &head, limit_bytes, &mut reservation).await {
+        Ok(Some(body)) => Incoming::Request(Box::new(head), body, reservation),
         Ok(None) => Incoming::Closed,
-        Err(problem) => Incoming::Refused(problem),
+        Err(problem) => Incoming::Rejected(problem),
     }
 }
 
-/// Reads a head; `None` if the connection ends between requests or in the middle of a head.
+/// Reads a head; `None` if the connection ends before the head is complete.
 async fn read_head(
     exchange: &mut Exchange,
     stop: &Receiver<()>,
 ) -> Result<Option<Head>, HeadError> {
     let limits = exchange.limits;
-    let mut searched = 0;
+    let mut searched_bytes = 0;
     exchange.watchdog.set(limits.idle_ms);
     loop {
-        if searched == 0 {
+        if searched_bytes == 0 {
             skip_empty_lines(&mut exchange.input);
         }
-        if let Some(end) = find_head_end(&exchange.input, searched) {
+        if let Some(end) = find_head_end(&exchange.input, searched_bytes) {
             exchange.watchdog.clear();
             if end > limits.head_limit_bytes {
-                return Err(HeadError::new(431, "the head is too long"));
+                return Err(HeadError::new(431, "the request head is too long"));
             }
             let head = parse_head(&exchange.input[..end], limits.field_limit)?;
             exchange.input.drain(..end);
             return Ok(Some(head));
         }
         if exchange.input.len() >= limits.head_limit_bytes {
-            return Err(HeadError::new(431, "the head is too long"));
+            return Err(HeadError::new(431, "the request head is too long"));
         }
-        let partial = !exchange.input.is_empty();
-        if !partial {
+        let is_partial = !exchange.input.is_empty();
+        if !is_partial {
             if stop.is_closed() {
                 return Ok(None);
             }
-            // An idle connection keeps no buffer.
+            // An idle connection releases its buffer.
             exchange.input = Vec::new();
-        } else if searched == 0 {
+        } else if searched_bytes == 0 {
             exchange.watchdog.set(limits.head_ms);
         }
-        searched = exchange.input.len();
-        match read_more(exchange, (!partial).then_some(stop)).await {
-            Read::Some => {}
-            Read::TimedOut if partial => {
-                return Err(HeadError::new(408, "the head did not arrive in time"));
+        searched_bytes = exchange.input.len();
+        match read_more(exchange, (!is_partial).then_some(stop)).await {
+            ReadOutcome::Data => {}
+            ReadOutcome::TimedOut if is_partial => {
+                return Err(HeadError::new(
+                    408,
+                    "timed out while reading the request head",
+                ));
             }
-            Read::Closed | Read::TimedOut => return Ok(None),
+            ReadOutcome::Closed | ReadOutcome::TimedOut => return Ok(None),
         }
     }
 }
@@ -181,26 +185,26 @@
     }
 }
 
-fn find_head_end(input: &[u8], searched: usize) -> Option<usize> {
-    let from = searched.saturating_sub(3);
+fn find_head_end(input: &[u8], searched_bytes: usize) -> Option<usize> {
+    let from = searched_bytes.saturating_sub(3);
     input[from..]
         .windows(4)
         .position(|window| window == b"\r\n\r\n")
         .map(|at| from + at + 4)
 }
 
-/// Reads a body; `None` if the connection ends in its middle.
+/// Reads a body; `None` if the connection ends before the body is complete.
 async fn read_body(
     exchange: &mut Exchange,
     head: &Head,
     limit_bytes: u64,
-    share: &mut Held,
+    reservation: &mut BodyReservation,
 ) -> Result<Option<Vec<u8>>, Problem> {
-    let announced = match head.framing {
+    let announced_bytes = match head.framing {
         Framing::Length(length) => length,
         Framing::Chunked | Framing::UntilClose => 0,
     };
-    if announced > limit_bytes {
+    if announced_bytes > limit_bytes {
         return Err(too_large(limit_bytes));
     }
     if head.expects_continue && exchange.input.is_empty() && send_continue(exchange).await.is_err()
@@ -211,7 +215,7 @@
     let mut decoder = BodyDecoder::new(head.framing);
     exchange.watchdog.set(exchange.limits.body_ms);
     loop {
-        reserve(&mut body, announced, exchange.input.len());
+        reserve(&mut body, announced_bytes, exchange.input.len());
         let used = decoder
             .decode(&exchange.input, &mut body)
             .map_err(|error| bad_request(error.to_string()))?;
@@ -219,7 +223,7 @@
         if body.len() as u64 > limit_bytes {
             return Err(too_large(limit_bytes));
         }
-        if !share.grow_to(body.len(), exchange.limits.held_bodies_bytes) {
+        if !reservation.grow_to(body.len(), exchange.limits.held_bodies_bytes) {
             return Err(overloaded());
         }
         if decoder.is_done() {
@@ -227,52 +231,56 @@
             return Ok(Some(body));
         }
         match read_more(exchange, None).await {
-            Read::Some => {}
-            Read::Closed => return Ok(None),
-            Read::TimedOut => {
-                return Err(
-                    Problem::new(408, "too-slow", "the body did not arrive in time")
-                        .run(RunState::NotRun),
-                );
+            ReadOutcome::Data => {}
+            ReadOutcome::Closed => return Ok(None),
+            ReadOutcome::TimedOut => {
+                return Err(Problem::new(
+                    408,
+                    "too-slow",
+                    "timed out while reading the request body",
+                )
+                .run(RunState::NotRun));
             }
         }
     }
 }
 
-/// Doubles the space for a body, but not beyond its announced length. The announced length is not
-/// reserved at once, because a peer may announce much and send nothing.
-fn reserve(body: &mut Vec<u8>, announced: u64, arrived: usize) {
-    let left = usize::try_from(announced).map_or(usize::MAX, |a| a.saturating_sub(body.len()));
-    if body.capacity() - body.len() < arrived {
-        body.reserve_exact(left.min(arrived.max(body.len())));
+/// Doubles the capacity of a body, up to its `Content-Length`. The announced length is not
+/// reserved at once, because a peer may announce a large body and send nothing.
+fn reserve(body: &mut Vec<u8>, announced_bytes: u64, received_bytes: usize) {
+    let left =
+        usize::try_from(announced_bytes).map_or(usize::MAX, |a| a.saturating_sub(body.len()));
+    if body.capacity() - body.len() < received_bytes {
+        body.reserve_exact(left.min(received_bytes.max(body.len())));
     }
 }
 
-/// Share of one request in the bodies that the server holds.
-struct Held {
-    total: Rc<Cell<usize>>,
+/// Share of one request in the server's limit on buffered bodies; released on drop.
+struct BodyReservation {
+    total_bytes: Rc<Cell<usize>>,
     bytes: usize,
 }
 
-impl Held {
+impl BodyReservation {
     fn new(exchange: &Exchange) -> Self {
         Self {
-            total: exchange.held_bodies.clone(),
+            total_bytes: exchange.buffered_bodies_bytes.clone(),
             bytes: 0,
         }
     }
 
-    /// Returns whether the body still fits.
+    /// Returns whether all buffered bodies together are within the limit.
     fn grow_to(&mut self, bytes: usize, limit_bytes: usize) -> bool {
-        self.total.set(self.total.get() + (bytes - self.bytes));
+        self.total_bytes
+            .set(self.total_bytes.get() + (bytes - self.bytes));
         self.bytes = bytes;
-        self.total.get() <= limit_bytes
+        self.total_bytes.get() <= limit_bytes
     }
 }
 
-impl Drop for Held {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.total.set(self.total.get() - self.bytes);
+        self.total_bytes.set(self.total_bytes.get() - self.bytes);
     }
 }
 
@@ -280,13 +288,13 @@
     exchange.send_raw(CONTINUE).await
 }
 
-enum Read {
-    Some,
+enum ReadOutcome {
+    Data,
     Closed,
     TimedOut,
 }
 
-async fn read_more(exchange: &mut Exchange, stop: Option<&Receiver<()>>) -> Read {
+async fn read_more(exchange: &mut Exchange, stop: Option<&Receiver<()>>) -> ReadOutcome {
     let mut stopped = pin!(async {
         match stop {
             Some(stop) => drop(stop.recv().await),
@@ -295,23 +303,23 @@
     });
     poll_fn(|cx| {
         match exchange.poll_input(cx) {
-            Poll::Ready(Ok(count)) if count > 0 => return Poll::Ready(Read::Some),
-            Poll::Ready(_) => return Poll::Ready(Read::Closed),
+            Poll::Ready(Ok(count)) if count > 0 => return Poll::Ready(ReadOutcome::Data),
+            Poll::Ready(_) => return Poll::Ready(ReadOutcome::Closed),
             Poll::Pending => {}
         }
         if exchange.watchdog.poll_expired(cx).is_ready() {
-            return Poll::Ready(Read::TimedOut);
+            return Poll::Ready(ReadOutcome::TimedOut);
         }
-        stopped.as_mut().poll(cx).map(|()| Read::Closed)
+        stopped.as_mut().poll(cx).map(|()| ReadOutcome::Closed)
     })
     .await
 }
 
-async fn linger(exchange: &mut Exchange) {
+async fn lingering_close(exchange: &mut Exchange) {
     let _ = exchange.stream.shutdown(Shutdown::Write);
     let drain = async {
-        let mut dropped = vec![0; 16 << 10];
-        while matches!(exchange.stream.read(&mut dropped).await, Ok(count) if count > 0) {}
+        let mut discarded = vec![0; 16 << 10];
+        while matches!(exchange.stream.read(&mut discarded).await, Ok(count) if count > 0) {}
     };
     drain
         .or(async {
@@ -341,7 +349,7 @@
     Problem::new(
         503,
         "overloaded",
-        "too many bytes of requests are held here",
+        "the buffered request bodies exceed the server's limit",
     )
     .run(RunState::NotRun)
     .retry_after(OVERLOADED_RETRY_MS)
--- a/components/http/src/error.rs
+++ b/components/http/src/error.rs
@@ -1,30 +1,30 @@
-//! Errors of connections.
+//! Errors of server and client connections.
 
 use std::fmt;
 
-/// The peer closed the connection, or stopped reading, before the end of the exchange.
+/// The peer closed the connection, or stopped reading, before the response was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HungUp;
 
 impl fmt::Display for HungUp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the peer hung up")
+        f.write_str("the peer closed the connection or stopped reading")
     }
 }
 
 impl std::error::Error for HungUp {}
 
-/// A request of a client that got no whole answer.
+/// A request without a complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientError {
     /// No byte of the request was sent.
     NotSent {
-        /// Cause, for logs.
+        /// Cause, as text for logs.
         detail: String,
     },
-    /// At least one byte of the request was sent; it may have been executed.
+    /// At least one byte of the request was sent; the server may have executed it.
     Interrupted {
-        /// Cause, for logs.
+        /// Cause, as text for logs.
         detail: String,
     },
 }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether a byte of the request was sent.
+    /// Whether at least one byte of the request was sent.
     #[must_use]
     pub fn was_sent(&self) -> bool {
         matches!(self, Self::Interrupted { .. })
@@ -53,7 +53,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent { detail } => write!(f, "the request was not sent: {detail}"),
-            Self::Interrupted { detail } => write!(f, "the answer was interrupted: {detail}"),
+            Self::Interrupted { detail } => write!(f, "the response was interrupted: {detail}"),
         }
     }
 }
--- a/components/http/src/exchange.rs
+++ b/components/http/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer on a server connection.
+//! One request and its response on a server connection.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -23,40 +23,42 @@
 use smol::net::TcpStream;
 
 use crate::error::HungUp;
-use crate::input::Input;
 use crate::limits::ServerLimits;
+use crate::socket_reader::SocketReader;
 use crate::watchdog::Watchdog;
 
-/// Most bytes of later requests that are read while an answer is awaited.
+/// Most bytes of pipelined requests that are read while a response is in progress.
 const READ_AHEAD_LIMIT_BYTES: usize = 16 << 10;
 
-/// Largest buffer that a connection keeps for its next write.
-const KEPT_OUTPUT_BYTES: usize = 4 << 10;
+/// Largest output buffer that is reused for the next write; a larger one is freed.
+const REUSED_OUTPUT_LIMIT_BYTES: usize = 4 << 10;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Progress {
-    Awaited,
+pub(crate) enum ResponseState {
+    NotStarted,
     Streaming,
-    Whole,
-    Broken,
+    Complete,
+    Failed,
 }
 
-/// One request and its answer, as a handler sees them.
+/// Connection through which a handler sends the response to one request.
 #[derive(Debug)]
 pub struct Exchange {
     pub(crate) stream: TcpStream,
     pub(crate) peer: SocketAddr,
     pub(crate) limits: ServerLimits,
-    /// Bytes received and not yet used.
+    /// Bytes received and not yet decoded.
     pub(crate) input: Vec<u8>,
     pub(crate) watchdog: Watchdog,
-    pub(crate) progress: Progress,
-    pub(crate) head_only: bool,
-    pub(crate) close: bool,
-    /// Bytes of bodies held by all connections of the server.
-    pub(crate) held_bodies: Rc<Cell<usize>>,
+    pub(crate) response_state: ResponseState,
+    /// The response has no body, because of its status or a HEAD request.
+    pub(crate) is_head_only: bool,
+    /// The connection closes after this response.
+    pub(crate) is_closing: bool,
+    /// Bytes of request bodies buffered by all connections of the server.
+    pub(crate) buffered_bodies_bytes: Rc<Cell<usize>>,
     output: Vec<u8>,
-    receiving: Input,
+    reader: SocketReader,
 }
 
 impl Exchange {
@@ -64,39 +66,39 @@
         stream: TcpStream,
         peer: SocketAddr,
         limits: ServerLimits,
-        held_bodies: Rc<Cell<usize>>,
+        buffered_bodies_bytes: Rc<Cell<usize>>,
     ) -> Self {
         Self {
-            receiving: Input::new(&stream),
+            reader: SocketReader::new(&stream),
             stream,
             peer,
             limits,
             input: Vec::new(),
             watchdog: Watchdog::default(),
-            progress: Progress::Awaited,
-            head_only: false,
-            close: false,
-            held_bodies,
+            response_state: ResponseState::NotStarted,
+            is_head_only: false,
+            is_closing: false,
+            buffered_bodies_bytes,
             output: Vec::new(),
         }
     }
 
-    /// Waits for a future, but not longer than the peer does.
+    /// Waits for a future, but stops when the peer closes the connection.
     ///
     /// # Errors
     ///
-    /// `HungUp` if the peer closed its side of the connection first.
-    pub async fn or_hang_up<T>(&mut self, awaited: impl Future<Output = T>) -> Result<T, HungUp> {
-        let mut awaited = pin!(awaited);
+    /// `HungUp` if the peer closed its side of the connection before the future was ready.
+    pub async fn or_hang_up<T>(&mut self, operation: impl Future<Output = T>) -> Result<T, HungUp> {
+        let mut operation = pin!(operation);
         poll_fn(|cx| {
-            if let Poll::Ready(value) = awaited.as_mut().poll(cx) {
+            if let Poll::Ready(value) = operation.as_mut().poll(cx) {
                 return Poll::Ready(Ok(value));
             }
             while self.input.len() < READ_AHEAD_LIMIT_BYTES {
                 match self.poll_input(cx) {
                     Poll::Ready(Ok(count)) if count > 0 => {}
                     Poll::Ready(_) => {
-                        self.progress = Progress::Broken;
+                        self.response_state = ResponseState::Failed;
                         return Poll::Ready(Err(HungUp));
                     }
                     Poll::Pending => break,
@@ -107,70 +109,70 @@
         .await
     }
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     ///
     /// # Errors
     ///
-    /// `HungUp` if the peer does not take it.
+    /// `HungUp` if the peer closes the connection or stops reading.
     pub async fn respond(&mut self, mut head: Response, body: &[u8]) -> Result<(), HungUp> {
-        self.mark_close(&mut head);
-        self.output = encode_whole(head, body, self.head_only);
+        self.add_connection_close(&mut head);
+        self.output = encode_response(head, body, self.is_head_only);
         self.flush().await?;
-        self.progress = Progress::Whole;
+        self.response_state = ResponseState::Complete;
         Ok(())
     }
 
-    /// Sends the head of an answer whose body follows in chunks.
+    /// Sends the head of a response whose body follows in chunks.
     ///
     /// # Errors
     ///
-    /// `HungUp` if the peer does not take it.
+    /// `HungUp` if the peer closes the connection or stops reading.
     pub async fn start(&mut self, head: Response) -> Result<(), HungUp> {
         self.queue_head(head);
         self.flush().await
     }
 
-    /// Sends the next bytes of the body; returns when the socket has taken them.
+    /// Sends the next bytes of the body; returns when they are in the socket's send buffer.
     ///
     /// # Errors
     ///
-    /// `HungUp` if the peer does not take them.
+    /// `HungUp` if the peer closes the connection or stops reading.
     pub async fn write(&mut self, bytes: &[u8]) -> Result<(), HungUp> {
         self.queue(bytes);
         self.flush().await
     }
 
-    /// Sends the end of the body. Without it the peer sees an incomplete answer.
+    /// Sends the last chunk. Without it the peer sees a truncated response.
     ///
     /// # Errors
     ///
-    /// `HungUp` if the peer does not take it.
+    /// `HungUp` if the peer closes the connection or stops reading.
     pub async fn finish(&mut self) -> Result<(), HungUp> {
-        if !self.head_only {
+        if !self.is_head_only {
             self.output.extend_from_slice(b"0\r\n\r\n");
         }
         self.flush().await?;
-        self.progress = Progress::Whole;
+        self.response_state = ResponseState::Complete;
         Ok(())
     }
 
-    /// Like `start`, but the head is sent together with what follows.
+    /// Like `start`, but buffers the head until the next write or flush.
     pub fn queue_head(&mut self, mut head: Response) {
-        self.mark_close(&mut head);
-        let media_type = head.header("content-type").is_some();
+        self.add_connection_close(&mut head);
+        let has_content_type = head.header("content-type").is_some();
         let length = has_no_body(&head).then_some(0);
-        self.head_only |= length.is_some();
+        self.is_head_only |= length.is_some();
         head.set_body(Body::from_reader(io::empty(), length));
-        if !media_type {
+        if !has_content_type {
             head.remove_header("content-type");
         }
         encode_head(head, &mut self.output);
-        self.progress = Progress::Streaming;
+        self.response_state = ResponseState::Streaming;
     }
 
-    /// Like `write`, but the bytes are sent together with what follows.
+    /// Like `write`, but buffers the bytes until the next write or flush.
     pub fn queue(&mut self, bytes: &[u8]) {
-        if self.head_only || bytes.is_empty() {
+        if self.is_head_only || bytes.is_empty() {
             return;
         }
         // Writing to a vector cannot fail.
@@ -179,40 +181,41 @@
         self.output.extend_from_slice(b"\r\n");
     }
 
-    /// Closes the connection after this answer, and tells the peer so in its head.
+    /// Closes the connection after this response. Adds `Connection: close` if the head was not sent
+    /// yet.
     pub fn close_after(&mut self) {
-        self.close = true;
+        self.is_closing = true;
     }
 
-    /// Whether the head of the answer was sent.
+    /// Whether the head of the response was sent or queued.
     #[must_use]
     pub fn is_started(&self) -> bool {
-        self.progress != Progress::Awaited
+        self.response_state != ResponseState::NotStarted
     }
 
-    /// Address of the peer.
+    /// Remote address of the connection.
     #[must_use]
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Sends bytes outside of an answer.
+    /// Sends bytes that are not part of the response, such as an interim response.
     pub(crate) async fn send_raw(&mut self, bytes: &[u8]) -> Result<(), HungUp> {
         self.output.extend_from_slice(bytes);
         self.flush().await
     }
 
-    fn mark_close(&mut self, head: &mut Response) {
-        if self.close {
+    fn add_connection_close(&mut self, head: &mut Response) {
+        if self.is_closing {
             head.insert_header("connection", "close");
         }
     }
 
-    /// Sends what is queued; returns when the socket has taken it.
+    /// Sends the queued bytes; returns when they are in the socket's send buffer.
     ///
     /// # Errors
     ///
-    /// `HungUp` if the peer does not take it.
+    /// `HungUp` if the peer closes the connection or stops reading.
     pub async fn flush(&mut self) -> Result<(), HungUp> {
         let mut written = 0;
         let result = poll_fn(|cx| {
@@ -235,23 +238,23 @@
         })
         .await;
         self.watchdog.clear();
-        if self.output.capacity() > KEPT_OUTPUT_BYTES {
+        if self.output.capacity() > REUSED_OUTPUT_LIMIT_BYTES {
             self.output = Vec::new();
         }
         self.output.clear();
         if result.is_err() {
-            self.progress = Progress::Broken;
+            self.response_state = ResponseState::Failed;
         }
         result
     }
 
-    /// Reads more bytes into `input`; 0 at the end of the connection.
+    /// Appends bytes from the connection to `input`; returns 0 at the end of the stream.
     pub(crate) fn poll_input(
         &mut self,
         cx: &mut std::task::Context<'_>,
     ) -> Poll<io::Result<usize>> {
         let mut chunk = [0; 8 << 10];
-        let read = self.receiving.poll_read(cx, &mut chunk);
+        let read = self.reader.poll_read(cx, &mut chunk);
         if let Poll::Ready(Ok(count)) = read {
             self.input.extend_from_slice(&chunk[..count]);
         }
@@ -263,25 +266,25 @@
     }
 }
 
-/// Encodes an answer whose body is known.
-pub(crate) fn encode_whole(mut head: Response, body: &[u8], head_only: bool) -> Vec<u8> {
-    let head_only = head_only || has_no_body(&head);
+/// Encodes a complete response, with `Content-Length`.
+pub(crate) fn encode_response(mut head: Response, body: &[u8], is_head_only: bool) -> Vec<u8> {
+    let is_head_only = is_head_only || has_no_body(&head);
     let body = if has_no_body(&head) { &[] } else { body };
     let mut bytes = Vec::with_capacity(256 + body.len());
-    let media_type = head.header("content-type").is_some();
+    let has_content_type = head.header("content-type").is_some();
     head.set_body(Body::from_reader(io::empty(), Some(body.len())));
-    if !media_type {
+    if !has_content_type {
         head.remove_header("content-type");
     }
     encode_head(head, &mut bytes);
-    if !head_only {
+    if !is_head_only {
         bytes.extend_from_slice(body);
     }
     bytes
 }
 
-/// Answers without a body whatever their fields say; a peer would take the bytes of one for the
-/// start of the next answer.
+/// Statuses whose responses never have a body; a peer would decode the bytes of a body as the
+/// start of the next response.
 fn has_no_body(head: &Response) -> bool {
     matches!(
         head.status(),
@@ -289,7 +292,7 @@
     )
 }
 
-/// Encodes the head alone, which is what the encoder does for the HEAD method.
+/// Encodes the head only: `async-h1` writes no body in response to HEAD.
 fn encode_head(head: Response, out: &mut Vec<u8>) {
     let mut encoder = Encoder::new(head, Method::Head);
     let encoding = encoder.read_to_end(out);
--- a/components/http/src/forward.rs
+++ b/components/http/src/forward.rs
@@ -1,8 +1,8 @@
-//! Which header fields pass through from a caller to a target and back.
+//! Selection of the header fields that are forwarded between callers and targets.
 //!
-//! End-to-end fields pass; fields of one connection (RFC 9110, section 7.6.1), fields that
-//! `Connection` names, and fields that the system sets itself do not. Engines get and give few
-//! fields, because the body says all that they need.
+//! End-to-end fields are forwarded. Hop-by-hop fields (RFC 9110, section 7.6.1), fields named in
+//! `Connection`, and fields that this system sets itself are not. Only a few fields are forwarded
+//! to and from engines, because the body contains everything that an engine needs.
 
 use http_types::headers::Headers as Fields;
 use types::Header;
@@ -10,8 +10,8 @@
 use types::HeadersError;
 use types::ServiceKind;
 
-/// Fields that concern one connection, and those of the framing, which each connection has its
-/// own of. Trailers are not passed on, so neither is the field that announces them.
+/// Fields of the connection and of the message framing, which each hop sets for itself. Trailers
+/// are not forwarded, so `Trailer` isn't either.
 pub const CONNECTION_FIELDS: [&str; 8] = [
     "connection",
     "content-length",
@@ -22,12 +22,12 @@
     "transfer-encoding",
     "upgrade",
 ];
-/// Fields of requests that the next hop gets anew or not at all.
+/// Request fields that a proxy replaces or removes.
 pub const REQUEST_HOP_FIELDS: [&str; 3] = ["expect", "host", "proxy-authorization"];
-/// Fields of answers that the next hop does not get.
+/// Response fields that a proxy removes.
 pub const ANSWER_HOP_FIELDS: [&str; 1] = ["proxy-authenticate"];
-/// Fields of requests that belong to the system's own protocol with callers and targets.
-const OWN_REQUEST_FIELDS: [&str; 6] = [
+/// Request fields of this system's own protocol with callers and targets.
+const SYSTEM_REQUEST_FIELDS: [&str; 6] = [
     "content-type",
     "idempotency-key",
     "request-timeout-ms",
@@ -35,70 +35,70 @@
     "x-priority",
     "x-request-id",
 ];
-/// Fields of answers that the entry sets.
-const OWN_ANSWER_FIELDS: [&str; 3] = ["content-type", "x-request-id", "x-served-by"];
-/// Fields of requests that engines get: those of distributed tracing.
+/// Response fields that the entry sets.
+const SYSTEM_RESPONSE_FIELDS: [&str; 3] = ["content-type", "x-request-id", "x-served-by"];
+/// Request fields that are forwarded to engines: those of distributed tracing.
 const ENGINE_REQUEST_FIELDS: [&str; 2] = ["traceparent", "tracestate"];
-/// Fields of engines' answers that callers get: those that keep proxies from storing or delaying
-/// a stream.
-const ENGINE_ANSWER_FIELDS: [&str; 2] = ["cache-control", "x-accel-buffering"];
+/// Response fields that are forwarded from engines: those that prevent proxies from caching or
+/// buffering a stream.
+const ENGINE_RESPONSE_FIELDS: [&str; 2] = ["cache-control", "x-accel-buffering"];
 
-/// Fields of a caller's request that its target gets. `credential` names the field that tells
-/// callers apart, which is meant for the callers' port alone.
+/// Selects the request fields to forward to the target. `credential` names the field that
+/// identifies callers, which is never forwarded.
 ///
 /// # Errors
 ///
-/// The fields that pass exceed the limits of `Headers`, or one is malformed.
+/// The selected fields exceed the limits of `Headers`, or one is malformed.
 pub fn request_headers(
     fields: &Fields,
     kind: ServiceKind,
     credential: Option<&str>,
 ) -> Result<Headers, HeadersError> {
-    pass(fields, |name| match kind {
+    select(fields, |name| match kind {
         ServiceKind::Model => ENGINE_REQUEST_FIELDS.contains(&name),
         ServiceKind::Plain => {
-            !OWN_REQUEST_FIELDS.contains(&name)
-                && !credential.is_some_and(|own| own.eq_ignore_ascii_case(name))
+            !SYSTEM_REQUEST_FIELDS.contains(&name)
+                && !credential.is_some_and(|field| field.eq_ignore_ascii_case(name))
         }
     })
 }
 
-/// Fields of a target's answer that the caller gets.
+/// Selects the response fields to forward to the caller.
 ///
 /// # Errors
 ///
-/// The fields that pass exceed the limits of `Headers`, or one is malformed.
+/// The selected fields exceed the limits of `Headers`, or one is malformed.
 pub fn answer_headers(fields: &Fields, kind: ServiceKind) -> Result<Headers, HeadersError> {
-    pass(fields, |name| match kind {
-        ServiceKind::Model => ENGINE_ANSWER_FIELDS.contains(&name),
-        ServiceKind::Plain => !OWN_ANSWER_FIELDS.contains(&name),
+    select(fields, |name| match kind {
+        ServiceKind::Model => ENGINE_RESPONSE_FIELDS.contains(&name),
+        ServiceKind::Plain => !SYSTEM_RESPONSE_FIELDS.contains(&name),
     })
 }
 
-/// Fields in order of their names; lines of one name stay apart and in order.
-fn pass(fields: &Fields, is_wanted: impl Fn(&str) -> bool) -> Result<Headers, HeadersError> {
+/// Selects fields, sorted by name; several fields of one name are not merged and keep their order.
+fn select(fields: &Fields, is_forwarded: impl Fn(&str) -> bool) -> Result<Headers, HeadersError> {
     let options = connection_options(fields);
-    let mut passed = Vec::new();
+    let mut selected = Vec::new();
     for (name, values) in fields {
         let name = name.as_str();
         if CONNECTION_FIELDS.contains(&name)
             || REQUEST_HOP_FIELDS.contains(&name)
             || ANSWER_HOP_FIELDS.contains(&name)
             || options.iter().any(|option| option == name)
-            || !is_wanted(name)
+            || !is_forwarded(name)
         {
             continue;
         }
-        passed.extend(values.iter().map(|value| Header {
+        selected.extend(values.iter().map(|value| Header {
             name: name.to_owned(),
             value: value.as_str().to_owned(),
         }));
     }
-    passed.sort_by(|a, b| a.name.cmp(&b.name));
-    Headers::try_from(passed)
+    selected.sort_by(|a, b| a.name.cmp(&b.name));
+    Headers::try_from(selected)
 }
 
-/// Names in all `Connection` fields, in lower case.
+/// Options of all `Connection` fields, in lower case.
 #[must_use]
 pub fn connection_options(fields: &Fields) -> Vec<String> {
     let Some(values) = fields.get("connection") else {
--- a/components/http/src/head.rs
+++ b/components/http/src/head.rs
@@ -1,4 +1,4 @@
-//! Checks of request heads in front of `async-h1`.
+//! Request heads: validation, and decoding with `async-h1`.
 
 use std::fmt;
 use std::pin::Pin;
@@ -13,36 +13,36 @@
 
 use crate::body::Framing;
 
-/// Largest head that is handed to `async-h1`, whose own limit is 8 KiB.
+/// Largest head that is passed to `async-h1`, whose own limit is 8 KiB.
 const DECODER_LIMIT_BYTES: usize = 8000;
-/// Longest request line; it always has to fit into the decoder's limit.
+/// Longest request line; it has to fit into `DECODER_LIMIT_BYTES`.
 const REQUEST_LINE_LIMIT_BYTES: usize = 4096;
 
 /// A decoded head of a request.
 #[derive(Debug)]
 pub struct Head {
-    /// Method, URL and fields; without a body.
+    /// Method, URL and header fields; the body is empty.
     pub request: http_types::Request,
-    /// Request target as it was sent; a URL normalizes it.
+    /// Request target as received; the URL in `request` is normalized.
     pub target: String,
     /// Value of the `Host` field.
     pub host: String,
-    /// How the end of the body is found.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// The peer waits for `100 Continue` before it sends the body.
+    /// The client sent `Expect: 100-continue`.
     pub expects_continue: bool,
-    /// The peer asked to close the connection after the answer.
-    pub close: bool,
+    /// The client sent `Connection: close`.
+    pub is_close_requested: bool,
 }
 
-/// A head that is not accepted.
+/// A request head that is malformed or exceeds a limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeadError {
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Field at fault, if it is one field.
+    /// Header field with the error, if it is in a single field.
     pub field: Option<String>,
-    /// For the caller's developer.
+    /// Explanation for the developer of the client.
     pub detail: &'static str,
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    fn in_field(status: u16, field: &str, detail: &'static str) -> Self {
+    fn for_field(status: u16, field: &str, detail: &'static str) -> Self {
         Self {
             status,
             field: Some(field.to_owned()),
@@ -72,13 +72,13 @@
     }
 }
 
-/// Decodes a head that ends with an empty line.
+/// Decodes a complete head, including the empty line at its end.
 ///
 /// # Errors
 ///
-/// The status and text to answer with.
+/// The status and text of the response.
 pub fn parse_head(bytes: &[u8], field_limit: usize) -> Result<Head, HeadError> {
-    let text = checked_text(bytes)?;
+    let text = validate_text(bytes)?;
     let mut lines = text.split("\r\n").filter(|line| !line.is_empty());
     let request_line = lines
         .next()
@@ -93,7 +93,7 @@
     }
     let host = fields
         .host
-        .ok_or_else(|| HeadError::in_field(400, "Host", "the field is missing"))?;
+        .ok_or_else(|| HeadError::for_field(400, "Host", "the field is missing"))?;
     let framing = fields.framing()?;
     let (decodable, rest) = split_fields(request_line, host, &fields.others);
     let mut request = decode(decodable)?;
@@ -106,12 +106,13 @@
         host: host.to_owned(),
         framing,
         expects_continue: fields.expects_continue,
-        close: fields.close,
+        is_close_requested: fields.is_close_requested,
     })
 }
 
-/// `async-h1` panics on field values that are not ASCII and accepts bare line feeds.
-fn checked_text(bytes: &[u8]) -> Result<&str, HeadError> {
+/// Allows only printable ASCII, tabs and CR LF: `async-h1` panics on field values that are not
+/// ASCII and accepts bare line feeds.
+fn validate_text(bytes: &[u8]) -> Result<&str, HeadError> {
     let mut previous = 0;
     for &byte in bytes {
         let allowed = match byte {
@@ -122,7 +123,7 @@
         if !allowed || (previous == b'\r' && byte != b'\n') {
             return Err(HeadError::new(
                 400,
-                "the head has a byte that is not printable ASCII, or a line without CR LF",
+                "the head contains a byte that is not printable ASCII, or a bare CR or LF",
             ));
         }
         previous = byte;
@@ -138,7 +139,7 @@
         return Ok(());
     }
     if line.contains(" HTTP/") {
-        return Err(HeadError::new(505, "only HTTP/1.1 is spoken here"));
+        return Err(HeadError::new(505, "only HTTP/1.1 is supported"));
     }
     Err(HeadError::new(400, "the request line is malformed"))
 }
@@ -151,9 +152,9 @@
 struct Fields<'a> {
     host: Option<&'a str>,
     length: Option<u64>,
-    chunked: bool,
+    is_chunked: bool,
     expects_continue: bool,
-    close: bool,
+    is_close_requested: bool,
     others: Vec<(&'a str, &'a str)>,
 }
 
@@ -161,14 +162,14 @@
     fn add(&mut self, line: &'a str) -> Result<(), HeadError> {
         let (name, value) = line
             .split_once(':')
-            .ok_or_else(|| HeadError::new(400, "a field of the head has no colon"))?;
-        if name.is_empty() || !name.bytes().all(is_token) {
-            return Err(HeadError::new(400, "a field name of the head is malformed"));
+            .ok_or_else(|| HeadError::new(400, "a header field has no colon"))?;
+        if name.is_empty() || !name.bytes().all(is_token_char) {
+            return Err(HeadError::new(400, "a header field name is malformed"));
         }
         let value = value.trim_matches([' ', '\t']);
         if name.eq_ignore_ascii_case("host") {
             if self.host.replace(value).is_some() {
-                return Err(HeadError::in_field(400, "Host", "the field appears twice"));
+                return Err(HeadError::for_field(400, "Host", "the field appears twice"));
             }
         } else if name.eq_ignore_ascii_case("content-length") {
             self.add_length(value)?;
@@ -176,16 +177,16 @@
             self.add_encoding(value)?;
         } else if name.eq_ignore_ascii_case("expect") {
             if !value.eq_ignore_ascii_case("100-continue") {
-                return Err(HeadError::in_field(
+                return Err(HeadError::for_field(
                     417,
                     "Expect",
-                    "only 100-continue is understood",
+                    "only 100-continue is supported",
                 ));
             }
             self.expects_continue = true;
         } else {
             if name.eq_ignore_ascii_case("connection") {
-                self.close |= value
+                self.is_close_requested |= value
                     .split(',')
                     .any(|option| option.trim().eq_ignore_ascii_case("close"));
             }
@@ -197,10 +198,14 @@
     fn add_length(&mut self, value: &str) -> Result<(), HeadError> {
         let digits_only = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
         let length = value.parse().ok().filter(|_| digits_only).ok_or_else(|| {
-            HeadError::in_field(400, "Content-Length", "the value must be one number")
+            HeadError::for_field(
+                400,
+                "Content-Length",
+                "the value must be a single decimal number",
+            )
         })?;
         if self.length.replace(length).is_some() {
-            return Err(HeadError::in_field(
+            return Err(HeadError::for_field(
                 400,
                 "Content-Length",
                 "the field appears twice",
@@ -210,23 +215,23 @@
     }
 
     fn add_encoding(&mut self, value: &str) -> Result<(), HeadError> {
-        if self.chunked || !value.eq_ignore_ascii_case("chunked") {
-            return Err(HeadError::in_field(
+        if self.is_chunked || !value.eq_ignore_ascii_case("chunked") {
+            return Err(HeadError::for_field(
                 501,
                 "Transfer-Encoding",
-                "only a single `chunked` is understood",
+                "only a single `chunked` is supported",
             ));
         }
-        self.chunked = true;
+        self.is_chunked = true;
         Ok(())
     }
 
     fn framing(&self) -> Result<Framing, HeadError> {
-        match (self.length, self.chunked) {
-            (Some(_), true) => Err(HeadError::in_field(
+        match (self.length, self.is_chunked) {
+            (Some(_), true) => Err(HeadError::for_field(
                 400,
                 "Content-Length",
-                "the field contradicts Transfer-Encoding",
+                "the field is not allowed together with Transfer-Encoding",
             )),
             (_, true) => Ok(Framing::Chunked),
             (length, false) => Ok(Framing::Length(length.unwrap_or(0))),
@@ -234,11 +239,11 @@
     }
 }
 
-fn is_token(byte: u8) -> bool {
+fn is_token_char(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// Builds the head for `async-h1`, and the fields that do not fit into its limit.
+/// Encodes as many fields as fit into the limit of `async-h1`; returns the others separately.
 fn split_fields<'a>(
     request_line: &str,
     host: &str,
@@ -266,7 +271,7 @@
 
 fn decode(head: Vec<u8>) -> Result<http_types::Request, HeadError> {
     let decoding = async_h1::server::decode(HeadBytes(Cursor::new(head.into())));
-    // All bytes are in memory, so the decoder is never pending.
+    // All input is in memory, so the decoder never returns pending.
     match futures_lite::future::block_on(futures_lite::future::poll_once(decoding)) {
         Some(Ok(Some((request, _)))) => Ok(request),
         _ => Err(HeadError::new(
@@ -276,7 +281,7 @@
     }
 }
 
-/// A whole head in memory, as `async-h1` wants its connection.
+/// In-memory head that implements the reader and writer traits which `async-h1` requires.
 #[derive(Clone)]
 struct HeadBytes(Cursor<Arc<[u8]>>);
 
--- a/components/http/src/lib.rs
+++ b/components/http/src/lib.rs
@@ -1,15 +1,15 @@
-//! HTTP/1.1 for one thread: a server connection and a keep-alive client.
+//! Single-threaded HTTP/1.1 server and keep-alive client.
 //!
-//! `async-h1` decodes and encodes the heads. Bodies, pipelining and every limit are handled here,
-//! in front of it, because version 2.3.4 of `async-h1`
+//! `async-h1` decodes and encodes the heads of messages. Bodies, pipelining and all limits are
+//! implemented in this crate, because version 2.3.4 of `async-h1`
 //!
-//! - reads a line of the head without a bound before it checks the length of the head,
+//! - buffers a header line of any length before it checks the length of the head,
 //! - panics on a field value that is UTF-8 but not ASCII,
-//! - accepts several `Content-Length` fields and takes the last one,
-//! - ends a body that is shorter than announced without an error,
-//! - loses pipelined requests that arrived with the bytes of an earlier one,
-//! - can wait forever for trailers that arrive in two parts,
-//! - starts threads of its own for `Expect: 100-continue`.
+//! - accepts several `Content-Length` fields and uses the last one,
+//! - reports no error for a body that is shorter than its `Content-Length`,
+//! - loses pipelined requests that arrive in the same read as an earlier request,
+//! - can wait forever for trailers that arrive in two reads,
+//! - starts its own threads for `Expect: 100-continue`.
 
 mod body;
 mod client;
@@ -18,11 +18,11 @@
 mod exchange;
 mod forward;
 mod head;
-mod input;
 mod limits;
 mod problem;
 mod response;
 mod server;
+mod socket_reader;
 mod watchdog;
 
 pub use body::BodyDecoder;
--- a/components/http/src/limits.rs
+++ b/components/http/src/limits.rs
@@ -1,26 +1,26 @@
-//! Limits of connections.
+//! Limits of server and client connections.
 
 use std::time::Duration;
 
 /// Limits of a server, per connection unless stated otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Connections open at once; further ones get `503`.
+    /// Most open connections of the server; further ones get `503`.
     pub connections: usize,
-    /// Largest head of a request.
+    /// Largest request head.
     pub head_limit_bytes: usize,
-    /// Most fields in a head.
+    /// Most header fields in a request head.
     pub field_limit: usize,
     /// Longest time from the first byte of a head to its last.
     pub head_ms: Duration,
     /// Longest time from the end of the head to the end of the body.
     pub body_ms: Duration,
-    /// Longest time without a request.
+    /// Longest time between requests.
     pub idle_ms: Duration,
-    /// Longest time in which the peer accepts no byte of an answer.
+    /// Longest time for which the peer accepts no bytes of a response.
     pub write_stall_ms: Duration,
-    /// Bytes of bodies held at once, over all connections; a request whose body does not fit gets
-    /// `503`. A body counts from its first byte to the end of its answer.
+    /// Most bytes of request bodies buffered by all connections together; a request that exceeds
+    /// it gets `503`. A body counts from its first byte until its response is complete.
     pub held_bodies_bytes: usize,
 }
 
@@ -42,22 +42,24 @@
 /// Limits of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Idle connections kept for reuse.
+    /// Most idle connections in the pool.
     pub idle_connections: usize,
-    /// Longest time that an idle connection is kept; below the server's own limit.
+    /// Longest time that a connection stays idle in the pool; shorter than the server's idle
+    /// timeout.
     pub idle_ms: Duration,
-    /// Longest time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_ms: Duration,
-    /// Longest time to write the request and receive the head of the answer.
+    /// Timeout for writing the request and receiving the head of the response.
     pub head_ms: Duration,
-    /// Longest time without a byte of the answer's body.
+    /// Longest time without a byte of the response body.
     pub stall_ms: Duration,
-    /// Largest body that `send_whole` collects.
+    /// Largest response body that `send_whole` buffers.
     pub body_limit_bytes: usize,
-    /// Interval of TCP keepalive probes, which tell a peer that is gone from one that is slow.
-    /// Without probes only `head_ms` and `stall_ms` end a wait.
+    /// Interval of TCP keepalive probes, which distinguish an unreachable peer from a slow one.
+    /// With `None` only `head_ms` and `stall_ms` limit the wait for a peer.
     pub probe_ms: Option<Duration>,
-    /// Accept bodies without announced length, which end with their connection.
+    /// Accept response bodies that end when the connection closes, without `Content-Length` or
+    /// chunked encoding.
     pub body_until_close: bool,
 }
 
--- a/components/http/src/problem.rs
+++ b/components/http/src/problem.rs
@@ -11,31 +11,31 @@
 /// Media type of a problem document.
 const MEDIA_TYPE: &str = "application/problem+json";
 
-/// An answer that carries no result, for people and programs.
+/// Error response, readable by people and programs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Kind of problem, for example `urn:chervilspool:overloaded`.
+    /// Problem type, for example `urn:chervilspool:overloaded`.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Short text, the same for every problem of a kind.
+    /// Short summary, the same for all problems of a type.
     pub title: String,
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// What went wrong this time, and what to do.
+    /// Explanation of this occurrence, and how to correct it.
     pub detail: String,
-    /// Field of the head or the body at fault.
+    /// Header or body field with the error.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub field: Option<String>,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub run: Option<RunState>,
-    /// Time after which a resend makes sense; `None` if it cannot help.
+    /// Time after which a retry may succeed; `None` if a retry cannot help.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// A problem of a kind, which is also the end of its `type`.
+    /// `kind` is the last part of the problem type, for example `overloaded`.
     #[must_use]
     pub fn new(status: u16, kind: &str, detail: impl Into<String>) -> Self {
         Self {
@@ -49,28 +49,28 @@
         }
     }
 
-    /// Names the field at fault.
+    /// Sets the header or body field with the error.
     #[must_use]
     pub fn field(mut self, field: impl Into<String>) -> Self {
         self.field = Some(field.into());
         self
     }
 
-    /// States whether the request ran.
+    /// Sets whether the request was executed.
     #[must_use]
     pub fn run(mut self, run: RunState) -> Self {
         self.run = Some(run);
         self
     }
 
-    /// States when to come back.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
         self
     }
 
-    /// Head and body of the answer. `Retry-After` is in whole seconds, rounded up.
+    /// Head and body of the response. `Retry-After` is in whole seconds, rounded up.
     #[must_use]
     pub fn to_answer(&self) -> (Response, Vec<u8>) {
         let status = StatusCode::try_from(self.status).unwrap_or(StatusCode::InternalServerError);
--- a/components/http/src/response.rs
+++ b/components/http/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers as the client receives them.
+//! Responses that the client receives.
 
 use std::time::Instant;
 
@@ -10,50 +10,50 @@
 use crate::body::BodyDecoder;
 use crate::body::Framing;
 use crate::client::Connection;
-use crate::client::Idle;
+use crate::client::IdleConnection;
 use crate::client::Pool;
 use crate::client::read_more;
 use crate::error::ClientError;
 use crate::limits::ClientLimits;
 
-/// Largest head of an answer; `async-h1` decodes no larger ones.
+/// Largest response head; `async-h1` decodes no larger ones.
 const HEAD_LIMIT_BYTES: usize = 8000;
 
-/// An answer with its whole body.
+/// A response with its complete body in memory.
 #[derive(Debug)]
 pub struct WholeResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Fields of the head.
+    /// Header fields.
     pub headers: Headers,
-    /// Body.
+    /// Decoded body; empty if the response has none.
     pub body: Vec<u8>,
 }
 
-/// An answer whose body is read bit by bit. Dropping it early closes the connection.
+/// A response whose body is read incrementally. Dropping it early closes the connection.
 #[derive(Debug)]
 pub struct StreamingResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Fields of the head.
+    /// Header fields.
     pub headers: Headers,
-    /// Length of the body, if it was announced.
+    /// Value of `Content-Length`; `None` for other framings.
     pub length: Option<u64>,
     connection: Option<Connection>,
     decoder: BodyDecoder,
     input: Vec<u8>,
     limits: ClientLimits,
     pool: Pool,
-    reusable: bool,
-    until_close: bool,
+    is_reusable: bool,
+    is_until_close: bool,
 }
 
 impl StreamingResponse {
-    /// Next bytes of the body; `None` after its announced end.
+    /// Next bytes of the body; `None` at its end.
     ///
     /// # Errors
     ///
-    /// `Interrupted` if the body is cut short, badly framed or stalls.
+    /// `Interrupted` if the body is truncated, malformed or stalls for longer than `stall_ms`.
     pub async fn next_chunk(&mut self) -> Result<Option<Vec<u8>>, ClientError> {
         loop {
             let mut chunk = Vec::new();
@@ -63,7 +63,7 @@
                 .map_err(ClientError::interrupted)?;
             self.input.drain(..used);
             if self.decoder.is_done() {
-                self.keep();
+                self.return_to_pool();
             }
             if !chunk.is_empty() {
                 return Ok(Some(chunk));
@@ -80,15 +80,17 @@
                 self.connection = None;
             }
             if count? == 0 {
-                if self.until_close {
+                if self.is_until_close {
                     return Ok(None);
                 }
-                return Err(ClientError::interrupted("the body is cut short"));
+                return Err(ClientError::interrupted(
+                    "the connection was closed before the end of the body",
+                ));
             }
         }
     }
 
-    /// Collects the rest of the body.
+    /// Buffers the rest of the body.
     ///
     /// # Errors
     ///
@@ -97,7 +99,9 @@
         let mut body = Vec::new();
         while let Some(chunk) = self.next_chunk().await? {
             if body.len() + chunk.len() > self.limits.body_limit_bytes {
-                return Err(ClientError::interrupted("the body is too large"));
+                return Err(ClientError::interrupted(
+                    "the body is larger than the client's limit",
+                ));
             }
             if body.is_empty() {
                 body = chunk;
@@ -112,11 +116,11 @@
         })
     }
 
-    /// Returns the connection to the pool.
-    fn keep(&mut self) {
+    /// Returns the connection to the pool if it can be reused, and closes it otherwise.
+    fn return_to_pool(&mut self) {
         let Some(Connection {
             stream,
-            receiving,
+            reader,
             mut watchdog,
             ..
         }) = self.connection.take()
@@ -124,11 +128,11 @@
             return;
         };
         let mut pool = self.pool.borrow_mut();
-        if self.reusable && self.input.is_empty() && pool.len() < self.limits.idle_connections {
+        if self.is_reusable && self.input.is_empty() && pool.len() < self.limits.idle_connections {
             watchdog.clear();
-            pool.push(Idle {
+            pool.push(IdleConnection {
                 stream,
-                receiving,
+                reader,
                 watchdog,
                 since: Instant::now(),
             });
@@ -136,18 +140,18 @@
     }
 }
 
-/// What is expected of the answer to a request.
+/// Properties of the request that determine how its response is read.
 pub(crate) struct Expected<'a> {
     /// The request's method was HEAD.
-    pub(crate) head_only: bool,
-    /// The whole request was written; otherwise the connection cannot be used again.
-    pub(crate) request_written: bool,
-    /// Whether an answer belongs to the request. Answers that do not are read and dropped.
-    pub(crate) is_own: &'a dyn Fn(&Headers) -> bool,
+    pub(crate) is_head_only: bool,
+    /// The request was written completely; otherwise the connection cannot be reused.
+    pub(crate) has_sent_request: bool,
+    /// Whether a response belongs to the request. Responses that do not are discarded.
+    pub(crate) is_match: &'a dyn Fn(&Headers) -> bool,
 }
 
-/// Reads the head of an answer; `input` holds bytes that arrived already. The error comes with
-/// whether no byte of the answer had arrived.
+/// Reads the head of a response; `input` holds the bytes received so far. The error comes with a
+/// flag: the connection was closed before the first byte of the response.
 pub(crate) async fn read_head(
     mut connection: Connection,
     mut input: Vec<u8>,
@@ -155,16 +159,20 @@
     pool: Pool,
     expected: Expected<'_>,
 ) -> Result<StreamingResponse, (ClientError, bool)> {
-    let mut reusable = expected.request_written;
+    let mut is_reusable = expected.has_sent_request;
     loop {
         let Some(end) = find_head_end(&input) else {
             if input.len() >= HEAD_LIMIT_BYTES {
-                return Err((ClientError::interrupted("the head is too long"), false));
+                return Err((
+                    ClientError::interrupted("the response head is too long"),
+                    false,
+                ));
             }
             let before = input.len();
             match read_more(&mut connection, &mut input).await {
                 Ok(0) => {
-                    let error = ClientError::interrupted("closed before the answer");
+                    let error =
+                        ClientError::interrupted("the connection was closed before the response");
                     return Err((error, before == 0));
                 }
                 Ok(_) => continue,
@@ -178,12 +186,12 @@
         if head.status().is_informational() {
             continue;
         }
-        let framing = framing(&head, expected.head_only, limits.body_until_close)
+        let framing = framing(&head, expected.is_head_only, limits.body_until_close)
             .map_err(|error| (error, false))?;
-        if !(expected.is_own)(head.as_ref()) {
-            // The answer to an earlier request, or a second copy of one.
-            reusable = false;
-            drop_body(&mut connection, &mut input, framing)
+        if !(expected.is_match)(head.as_ref()) {
+            // A late response to an earlier request, or a duplicate.
+            is_reusable = false;
+            discard_body(&mut connection, &mut input, framing)
                 .await
                 .map_err(|error| (error, false))?;
             continue;
@@ -194,8 +202,8 @@
                 Framing::Length(length) => Some(length),
                 Framing::Chunked | Framing::UntilClose => None,
             },
-            reusable: reusable && framing != Framing::UntilClose && !announces_close(&head),
-            until_close: framing == Framing::UntilClose,
+            is_reusable: is_reusable && framing != Framing::UntilClose && !announces_close(&head),
+            is_until_close: framing == Framing::UntilClose,
             headers: (head.as_ref() as &Headers).clone(),
             connection: Some(connection),
             decoder: BodyDecoder::new(framing),
@@ -204,13 +212,13 @@
             pool,
         };
         if response.decoder.is_done() {
-            response.keep();
+            response.return_to_pool();
         }
         return Ok(response);
     }
 }
 
-async fn drop_body(
+async fn discard_body(
     connection: &mut Connection,
     input: &mut Vec<u8>,
     framing: Framing,
@@ -225,7 +233,9 @@
             return Ok(());
         }
         if read_more(connection, input).await? == 0 {
-            return Err(ClientError::interrupted("closed before the answer"));
+            return Err(ClientError::interrupted(
+                "the connection was closed before the response",
+            ));
         }
     }
 }
@@ -240,37 +250,41 @@
 async fn decode(head: &[u8]) -> Result<Response, ClientError> {
     if head.len() > HEAD_LIMIT_BYTES || !head.is_ascii() {
         return Err(ClientError::interrupted(
-            "the head is too long or not ASCII",
+            "the response head is too long or not ASCII",
         ));
     }
     let mut response = async_h1::client::decode(Cursor::new(head.to_vec()))
         .await
-        .map_err(|error| ClientError::interrupted(format!("malformed head: {error}")))?;
-    // The decoder makes up a malformed `Date`, with a line feed, where there is none.
+        .map_err(|error| ClientError::interrupted(format!("malformed response head: {error}")))?;
+    // Without a `Date` field, `async-h1` adds a malformed one that ends with a line feed.
     if matches!(response.header("date"), Some(date) if date.as_str().ends_with('\n')) {
         response.remove_header("date");
     }
     Ok(response)
 }
 
-fn framing(head: &Response, head_only: bool, until_close: bool) -> Result<Framing, ClientError> {
+fn framing(
+    head: &Response,
+    is_head_only: bool,
+    is_until_close: bool,
+) -> Result<Framing, ClientError> {
     let status = head.status();
-    if head_only || status == StatusCode::NoContent || status == StatusCode::NotModified {
+    if is_head_only || status == StatusCode::NoContent || status == StatusCode::NotModified {
         return Ok(Framing::Length(0));
     }
     if let Some(encoding) = head.header("transfer-encoding") {
         if encoding.iter().count() == 1 && encoding.as_str().eq_ignore_ascii_case("chunked") {
             return Ok(Framing::Chunked);
         }
-        return Err(ClientError::interrupted("unknown transfer encoding"));
+        return Err(ClientError::interrupted("unsupported Transfer-Encoding"));
     }
     let Some(lengths) = head.header("content-length") else {
-        if until_close {
+        if is_until_close {
             return Ok(Framing::UntilClose);
         }
-        // A body that ends with the connection cannot be told from one that is cut short.
+        // A body that ends when the connection closes is indistinguishable from a truncated one.
         return Err(ClientError::interrupted(
-            "the body's length is not announced",
+            "the response has neither Content-Length nor Transfer-Encoding",
         ));
     };
     let text = lengths.as_str();
--- a/components/http/src/server.rs
+++ b/components/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Server for one thread.
+//! Single-threaded HTTP server.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -21,53 +21,52 @@
 use crate::limits::ServerLimits;
 use crate::problem::Problem;
 
-/// Pause after a failed accept, for example without free file descriptors.
-const ACCEPT_PAUSE_MS: Duration = Duration::from_millis(100);
+/// Pause after a failed accept, for example when no file descriptors are free.
+const ACCEPT_RETRY_DELAY_MS: Duration = Duration::from_millis(100);
 
-/// Future of a handler; a server runs on one thread.
+/// Future of a handler; not `Send`, because a server runs on one thread.
 pub type HandlerFuture<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
-    /// Method, URL and fields; the body is beside it.
+    /// Method, URL and header fields; its body is empty.
     pub head: http_types::Request,
-    /// Request target as it was sent.
+    /// Request target as received; the URL in `head` is normalized.
     pub target: String,
     /// Value of the `Host` field.
     pub host: String,
-    /// Body; empty without one.
+    /// Decoded body; empty if the request has none.
     pub body: Vec<u8>,
-    /// Address of the peer.
+    /// Remote address of the connection.
     pub peer: SocketAddr,
 }
 
-/// What a server does with requests.
+/// Application that handles the requests of a server.
 pub trait Handler {
-    /// Largest accepted body for a request, told before the body is read.
+    /// Checks a request before its body is read, and returns the largest accepted body in bytes.
     ///
     /// # Errors
     ///
-    /// The problem to answer with; the connection is closed unless there is no body to come.
+    /// The error response; the connection is then closed if the request has a body.
     fn admit(&self, head: &http_types::Request) -> Result<u64, Problem>;
 
-    /// Limits for connections accepted from now on, if they differ from those that the server was
-    /// started with.
+    /// Limits for new connections, if they differ from those that the server was started with.
     fn limits(&self) -> Option<ServerLimits> {
         None
     }
 
-    /// Answers a request through the exchange. The connection is closed if it returns without a
-    /// whole answer.
+    /// Sends the response to a request through the exchange. A handler that sends none causes a
+    /// `500`; one that sends a truncated response causes the connection to be closed.
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a>;
 }
 
-/// Serves a listener until the stop channel is closed, then closes idle connections and returns
-/// when the rest are finished.
+/// Accepts connections until the stop channel is closed, then closes idle connections and returns
+/// when the requests in progress are finished.
 ///
 /// # Errors
 ///
-/// None at present; accept errors are waited out.
+/// None at present; accept is retried after an error.
 pub async fn serve(
     listener: TcpListener,
     limits: ServerLimits,
@@ -75,35 +74,35 @@
     executor: Rc<LocalExecutor<'static>>,
     stop: Receiver<()>,
 ) -> io::Result<()> {
-    let open = Rc::new(Cell::new(0_usize));
-    let held_bodies = Rc::new(Cell::new(0_usize));
-    let (running, finished) = smol::channel::bounded::<()>(1);
+    let open_connections = Rc::new(Cell::new(0_usize));
+    let buffered_bodies_bytes = Rc::new(Cell::new(0_usize));
+    let (guard, guards_dropped) = smol::channel::bounded::<()>(1);
     while let Some(accepted) = accept_or_stop(&listener, &stop).await {
         let Ok((stream, peer)) = accepted else {
-            Timer::after(ACCEPT_PAUSE_MS).await;
+            Timer::after(ACCEPT_RETRY_DELAY_MS).await;
             continue;
         };
         let limits = handler.limits().unwrap_or(limits);
-        if open.get() >= limits.connections {
-            executor.spawn(turn_away(stream)).detach();
+        if open_connections.get() >= limits.connections {
+            executor.spawn(reject_connection(stream)).detach();
             continue;
         }
-        open.set(open.get() + 1);
-        let (open, running) = (open.clone(), running.clone());
-        let exchange = Exchange::new(stream, peer, limits, held_bodies.clone());
+        open_connections.set(open_connections.get() + 1);
+        let (open_connections, guard) = (open_connections.clone(), guard.clone());
+        let exchange = Exchange::new(stream, peer, limits, buffered_bodies_bytes.clone());
         let connection = connection::run(exchange, handler.clone(), stop.clone());
         executor
             .spawn(async move {
                 connection.await;
-                open.set(open.get() - 1);
-                drop(running);
+                open_connections.set(open_connections.get() - 1);
+                drop(guard);
             })
             .detach();
     }
     drop(listener);
-    drop(running);
-    // Fails as soon as the last connection has dropped its sender.
-    let _ = finished.recv().await;
+    drop(guard);
+    // Returns an error when the last connection has dropped its sender.
+    let _ = guards_dropped.recv().await;
     Ok(())
 }
 
@@ -118,17 +117,21 @@
     stopped.or(async { Some(listener.accept().await) }).await
 }
 
-async fn turn_away(mut stream: TcpStream) {
-    let (mut head, body) = Problem::new(503, "too-many-connections", "come back later")
-        .run(types::RunState::NotRun)
-        .retry_after(Duration::from_secs(1))
-        .to_answer();
+async fn reject_connection(mut stream: TcpStream) {
+    let (mut head, body) = Problem::new(
+        503,
+        "too-many-connections",
+        "the server has too many open connections; retry later",
+    )
+    .run(types::RunState::NotRun)
+    .retry_after(Duration::from_secs(1))
+    .to_answer();
     head.insert_header("connection", "close");
-    let bytes = crate::exchange::encode_whole(head, &body, false);
+    let bytes = crate::exchange::encode_response(head, &body, false);
     let write = async { stream.write_all(&bytes).await.is_ok() };
-    let give_up = async {
+    let timeout = async {
         Timer::after(Duration::from_secs(1)).await;
         false
     };
-    write.or(give_up).await;
+    write.or(timeout).await;
 }
--- a/components/http/src/input.rs
+++ b/components/http/src/socket_reader.rs
@@ -1,4 +1,4 @@
-//! Receiving side of a connection.
+//! Reads from a socket without needless system calls.
 
 use std::io;
 use std::io::Read;
@@ -11,19 +11,19 @@
 use smol::Async;
 use smol::net::TcpStream;
 
-/// Reads of a connection that call the socket only when there may be something to read.
+/// Read half of a connection, which reads the socket only when it may be readable.
 ///
-/// `TcpStream::poll_read` tries the socket on every poll. A connection that relays a stream is
-/// polled for every event, to see whether the peer hung up, and nearly all of those reads find
-/// nothing.
+/// `TcpStream::poll_read` makes a system call on every poll. A connection that relays a stream is
+/// polled for every event, to detect that the peer closed it, and nearly all of those reads would
+/// return no data.
 #[derive(Debug)]
-pub(crate) struct Input {
+pub(crate) struct SocketReader {
     socket: Arc<Async<StdStream>>,
-    /// The last read left the socket empty; the reactor tells when that changes.
+    /// The last read emptied the socket; the reactor reports when it is readable again.
     is_drained: bool,
 }
 
-impl Input {
+impl SocketReader {
     pub(crate) fn new(stream: &TcpStream) -> Self {
         Self {
             socket: stream.clone().into(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Reads what is there; 0 at the end of the connection.
+    /// Reads the available bytes; returns 0 at the end of the stream.
     pub(crate) fn poll_read(
         &mut self,
         cx: &mut Context<'_>,
@@ -45,7 +45,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.is_drained = true,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 result => {
-                    // The end of the connection counts as an empty socket: it stays readable.
+                    // The end of the stream counts as an empty socket; it stays readable.
                     self.is_drained = result.as_ref().is_ok_and(|count| *count < buffer.len());
                     return Poll::Ready(result);
                 }
--- a/components/http/src/watchdog.rs
+++ b/components/http/src/watchdog.rs
@@ -1,4 +1,4 @@
-//! A deadline for a connection that is moved often and seldom reached.
+//! Timeout of a connection, which is set often and seldom expires.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,9 +9,10 @@
 
 use smol::Timer;
 
-/// Deadline whose timer is armed again only when it fires early.
+/// Deadline that can be moved without rescheduling its timer.
 ///
-/// Arming a timer costs a system call to wake the reactor, which is too much for every request.
+/// A timer that fires before the deadline is scheduled again. Scheduling a timer costs a system
+/// call to wake the reactor, which is too expensive for every request.
 #[derive(Debug, Default)]
 pub(crate) struct Watchdog {
     deadline: Option<Instant>,
@@ -19,12 +20,12 @@
 }
 
 impl Watchdog {
-    /// Sets the deadline.
+    /// Sets the deadline to the given time from now.
     pub(crate) fn set(&mut self, after: Duration) {
         self.deadline = Instant::now().checked_add(after);
     }
 
-    /// Whether there is a deadline.
+    /// Whether a deadline is set.
     pub(crate) fn is_set(&self) -> bool {
         self.deadline.is_some()
     }
@@ -34,7 +35,7 @@
         self.deadline = None;
     }
 
-    /// Whether the deadline has passed; otherwise the task is woken when it does.
+    /// Ready if the deadline has passed; otherwise the task is woken when it does.
     pub(crate) fn poll_expired(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let Some(deadline) = self.deadline else {
             return Poll::Pending;
--- a/components/http/tests/client.rs
+++ b/components/http/tests/client.rs
@@ -1,4 +1,4 @@
-//! Behaviour of the client towards servers that fail.
+//! Client: connection reuse, and its behaviour when servers fail.
 
 mod common;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn reuses_connections_and_returns_whole_bodies() {
+fn reuses_connections_and_returns_complete_bodies() {
     with_server(ServerLimits::default(), |server| async move {
         let client = Client::new(server.addr, limits());
         for _ in 0..3 {
@@ -42,9 +42,9 @@
     });
 }
 
-// Guards against bodies that end early and pass for whole ones.
+// Guards against truncated bodies that are reported as complete.
 #[test]
-fn reports_bodies_that_are_cut_short() {
+fn reports_truncated_bodies() {
     with_server(ServerLimits::default(), |server| async move {
         let client = Client::new(server.addr, limits());
         let request = client.request(Method::Get, "/cut").unwrap();
@@ -57,21 +57,21 @@
         b"HTTP/1.1 200 OK\r\n\r\nhalf",
     ];
     for answer in answers {
-        let (error, _) = post_to(answer);
+        let (error, _) = repeat_post(answer);
         assert!(error.unwrap_err().was_sent());
     }
 }
 
-// Guards against a second run of work that is not idempotent.
+// Guards against a second execution of a request that is not idempotent.
 #[test]
-fn does_not_repeat_a_post_after_the_server_closed() {
-    let (result, requests) = post_to(b"");
+fn does_not_retry_a_post_after_the_server_closed() {
+    let (result, requests) = repeat_post(b"");
     assert!(matches!(result, Err(ClientError::Interrupted { .. })));
     assert_eq!(requests, 1);
 }
 
 #[test]
-fn says_that_nothing_was_sent_if_nobody_listens() {
+fn reports_not_sent_if_the_connection_is_refused() {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
@@ -83,9 +83,9 @@
     });
 }
 
-// Guards against waiting forever for servers that are paused.
+// Guards against waiting without limit for a paused server.
 #[test]
-fn gives_up_on_a_silent_server() {
+fn times_out_on_a_server_that_does_not_respond() {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let client = Client::new(listener.local_addr().unwrap(), limits());
@@ -94,9 +94,10 @@
     });
 }
 
-/// Posts over a pooled connection to a server that gives one answer and closes; returns the
-/// result and how often the request arrived.
-fn post_to(answer: &'static [u8]) -> (Result<(), ClientError>, usize) {
+/// Sends two POST requests over one connection to a server that answers the second one with the
+/// given bytes and closes. Returns the result of the second request, and 1 plus the number of
+/// further connections that the client opened.
+fn repeat_post(answer: &'static [u8]) -> (Result<(), ClientError>, usize) {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let client = Client::new(listener.local_addr().unwrap(), limits());
@@ -111,12 +112,12 @@
             let _ = stream.read(&mut input).await.unwrap();
             stream.write_all(answer).await.unwrap();
             drop(stream);
-            let again = async { usize::from(listener.accept().await.is_ok()) };
-            let none = async {
+            let retried = async { usize::from(listener.accept().await.is_ok()) };
+            let not_retried = async {
                 smol::Timer::after(Duration::from_millis(100)).await;
                 0
             };
-            1 + futures_lite::future::or(again, none).await
+            1 + futures_lite::future::or(retried, not_retried).await
         });
         let request = || client.request(Method::Post, "/").unwrap();
         client.send_whole(request()).await.unwrap();
--- a/components/http/tests/common/mod.rs
+++ b/components/http/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A server on loopback and raw connections to it.
+//! Test server on the loopback interface, and raw connections to it.
 #![allow(dead_code)]
 
 use std::cell::RefCell;
@@ -24,13 +24,13 @@
 use smol::net::TcpListener;
 use smol::net::TcpStream;
 
-/// Largest body that the handler admits.
+/// Largest request body that the handler accepts.
 pub const BODY_LIMIT_BYTES: u64 = 1000;
 
-/// Echoes bodies; some paths misbehave. Notes what it was told.
+/// Handler that echoes bodies; some paths have a special behaviour. Records requests and hang-ups.
 #[derive(Default)]
 pub struct Echo {
-    pub notes: RefCell<Vec<String>>,
+    pub events: RefCell<Vec<String>>,
 }
 
 impl Handler for Echo {
@@ -43,7 +43,7 @@
 
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
         let path = request.head.url().path().to_owned();
-        self.notes.borrow_mut().push(format!("run {path}"));
+        self.events.borrow_mut().push(format!("run {path}"));
         Box::pin(async move {
             let head = Response::new(StatusCode::Ok);
             let result = match path.as_str() {
@@ -61,13 +61,13 @@
                     }
                     result
                 }
-                "/stream" => stream(exchange, head).await,
+                "/stream" => send_chunks(exchange, head).await,
                 "/cut" => {
                     let _ = exchange.start(head).await;
                     exchange.write(b"half").await
                 }
                 "/none" => Ok(()),
-                "/no-content" => stream(exchange, Response::new(StatusCode::NoContent)).await,
+                "/no-content" => send_chunks(exchange, Response::new(StatusCode::NoContent)).await,
                 "/not-modified" => {
                     let head = Response::new(StatusCode::NotModified);
                     exchange.respond(head, b"body").await
@@ -75,32 +75,32 @@
                 _ => exchange.respond(head, &request.body).await,
             };
             if result.is_err() {
-                self.notes.borrow_mut().push(format!("hung up {path}"));
+                self.events.borrow_mut().push(format!("hung up {path}"));
             }
         })
     }
 }
 
-async fn stream(exchange: &mut Exchange, head: Response) -> Result<(), http::HungUp> {
+async fn send_chunks(exchange: &mut Exchange, head: Response) -> Result<(), http::HungUp> {
     exchange.start(head).await?;
     exchange.write(b"one ").await?;
     exchange.write(b"two").await?;
     exchange.finish().await
 }
 
-/// A running server.
-pub struct Running {
+/// Running server and its handler.
+pub struct TestServer {
     pub addr: SocketAddr,
     pub echo: Rc<Echo>,
     pub stop: Sender<()>,
-    /// Closed when `serve` has returned.
-    pub ended: Receiver<()>,
+    /// Channel that is closed when `serve` has returned.
+    pub serve_ended: Receiver<()>,
 }
 
-/// Runs a test beside a server.
+/// Runs a test with a running server.
 pub fn with_server<F: Future<Output = ()>>(
     limits: ServerLimits,
-    test: impl FnOnce(Rc<Running>) -> F,
+    test: impl FnOnce(Rc<TestServer>) -> F,
 ) {
     let executor = Rc::new(LocalExecutor::new());
     let server = executor.clone();
@@ -110,23 +110,23 @@
         let echo = Rc::new(Echo::default());
         let (stop, stopped) = smol::channel::bounded(1);
         let serving = http::serve(listener, limits, echo.clone(), server.clone(), stopped);
-        let (running, ended) = smol::channel::bounded(1);
+        let (guard, serve_ended) = smol::channel::bounded(1);
         let task = async move {
             serving.await.unwrap();
-            drop(running);
+            drop(guard);
         };
         server.spawn(task).detach();
-        test(Rc::new(Running {
+        test(Rc::new(TestServer {
             addr,
             echo,
             stop,
-            ended,
+            serve_ended,
         }))
         .await;
     }));
 }
 
-/// Sends bytes and returns everything up to the end of the connection.
+/// Sends bytes and returns everything received until the connection ends.
 pub async fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).await.unwrap();
     let _ = stream.write_all(bytes).await;
@@ -139,10 +139,15 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Waits until the handler has noted something, or for two seconds.
-pub async fn noted(echo: &Echo, note: &str) -> bool {
+/// Waits for an event of the handler for up to two seconds; returns whether it was recorded.
+pub async fn wait_for_event(echo: &Echo, event: &str) -> bool {
     for _ in 0..200 {
-        if echo.notes.borrow().iter().any(|n| n == note) {
+        if echo
+            .events
+            .borrow()
+            .iter()
+            .any(|recorded| recorded == event)
+        {
             return true;
         }
         Timer::after(Duration::from_millis(10)).await;
--- a/components/http/tests/decoders.rs
+++ b/components/http/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Random and mutated input for the decoders.
+//! Property tests of the decoders, with random and mutated input.
 
 use http::BodyDecoder;
 use http::Framing;
@@ -23,14 +23,14 @@
         parse_head(&bytes, 64).map_or_else(|error| error.status >= 400, |_| true)
     }
 
-    fn random_chunks_neither_panic_nor_grow(bytes: Vec<u8>) -> bool {
+    fn random_chunks_neither_panic_nor_exceed_the_input(bytes: Vec<u8>) -> bool {
         let mut out = Vec::new();
         let _ = BodyDecoder::new(Framing::Chunked).decode(&bytes, &mut out);
         out.len() <= bytes.len()
     }
 
-    // Guards against damage in the framing of a real body.
-    fn mutated_chunks_neither_panic_nor_grow(changes: Vec<(usize, u8)>) -> bool {
+    // Guards against panics and excess output on a valid body with corrupted framing.
+    fn mutated_chunks_neither_panic_nor_exceed_the_input(changes: Vec<(usize, u8)>) -> bool {
         let mut bytes = b"5;x=y\r\nhello\r\nA\r\n0123456789\r\n0\r\nTrailer: x\r\n\r\n".to_vec();
         for (at, byte) in changes {
             let at = at % bytes.len();
@@ -41,16 +41,16 @@
         out.len() <= bytes.len()
     }
 
-    // Guards against memory reserved for a chunk that is only announced.
-    fn huge_announced_chunks_reserve_no_memory(digits: u8) -> bool {
+    // Guards against memory reserved for a chunk whose data is not sent.
+    fn huge_chunk_sizes_reserve_no_memory(digits: u8) -> bool {
         let bytes = format!("{}\r\nx", "f".repeat(usize::from(digits % 15) + 1));
         let mut out = Vec::new();
         let _ = BodyDecoder::new(Framing::Chunked).decode(bytes.as_bytes(), &mut out);
         out.capacity() <= 64
     }
 
-    // Guards against a decoder whose result depends on how the bytes arrive.
-    fn chunks_decode_alike_in_any_split(parts: Vec<Vec<u8>>, split: usize) -> bool {
+    // Guards against a decoder whose result depends on how the input is split into reads.
+    fn decoding_is_independent_of_the_split_of_the_input(parts: Vec<Vec<u8>>, split: usize) -> bool {
         let mut encoded = Vec::new();
         for part in parts.iter().filter(|part| !part.is_empty()) {
             encoded.extend(format!("{:X};x=y\r\n", part.len()).bytes());
--- a/components/http/tests/forward.rs
+++ b/components/http/tests/forward.rs
@@ -1,4 +1,4 @@
-//! Which fields pass between callers and targets.
+//! Selection of the header fields that are forwarded between callers and targets.
 
 use http::answer_headers;
 use http::request_headers;
@@ -13,27 +13,32 @@
 use types::HeadersError;
 use types::ServiceKind;
 
-/// Section 7.6.1 of RFC 9110, with the framing and the fields for the next proxy.
-const HOP_BY_HOP: &str = "connection proxy-connection keep-alive te transfer-encoding upgrade \
+/// Hop-by-hop fields (RFC 9110, section 7.6.1), framing fields and fields for the next proxy.
+const HOP_BY_HOP_FIELDS: &str = "connection proxy-connection keep-alive te transfer-encoding upgrade \
     trailer proxy-authenticate proxy-authorization content-length host expect";
-const OWN: &str = "content-type x-request-id x-served-by idempotency-key request-timeout-ms \
+const SYSTEM_FIELDS: &str = "content-type x-request-id x-served-by idempotency-key request-timeout-ms \
     x-priority x-cache-pieces";
-const END_TO_END: &str = "location etag cache-control content-disposition content-language date \
+const END_TO_END_FIELDS: &str = "location etag cache-control content-disposition content-language date \
     last-modified set-cookie retry-after www-authenticate x-should-retry x-any accept";
 const CREDENTIAL: &str = "X-Caller";
 
-/// Lines of a head; some `Connection` fields name other fields.
+/// Random header fields; some `Connection` fields name other fields.
 #[derive(Debug, Clone)]
-struct Lines(Vec<(String, String)>);
+struct RandomFields(Vec<(String, String)>);
 
-impl Arbitrary for Lines {
+impl Arbitrary for RandomFields {
     fn arbitrary(g: &mut Gen) -> Self {
-        let names: Vec<&str> = [HOP_BY_HOP, OWN, END_TO_END, "x-caller authorization"]
-            .iter()
-            .flat_map(|names| names.split_whitespace())
-            .collect();
+        let names: Vec<&str> = [
+            HOP_BY_HOP_FIELDS,
+            SYSTEM_FIELDS,
+            END_TO_END_FIELDS,
+            "x-caller authorization",
+        ]
+        .iter()
+        .flat_map(|names| names.split_whitespace())
+        .collect();
         let count = u32::arbitrary(g) % 40;
-        let lines = (0..count).map(|index| {
+        let fields = (0..count).map(|index| {
             let name = (*g.choose(&names).expect("names")).to_owned();
             let mut value = format!("{index}");
             if name == "connection" {
@@ -46,12 +51,12 @@
             }
             (name, value)
         });
-        Self(lines.collect())
+        Self(fields.collect())
     }
 }
 
-impl Lines {
-    fn fields(&self) -> Fields {
+impl RandomFields {
+    fn to_headers(&self) -> Fields {
         let mut fields = http_types::Response::new(200);
         for (name, value) in &self.0 {
             fields.append_header(name.as_str(), value.as_str());
@@ -60,58 +65,70 @@
         fields.clone()
     }
 
-    /// Lines that pass by a rule, in order of their names.
-    fn passing(&self, stays: impl Fn(&str) -> bool) -> Vec<Header> {
+    /// Expected fields, sorted by name: end-to-end fields for which `is_removed` is false.
+    fn expected(&self, is_removed: impl Fn(&str) -> bool) -> Vec<Header> {
         let named: Vec<String> = (self.0.iter())
             .filter(|(name, _)| name == "connection")
             .flat_map(|(_, value)| value.split(" , ").map(str::to_lowercase))
             .collect();
-        let mut passing: Vec<Header> = (self.0.iter())
-            .filter(|(name, _)| !HOP_BY_HOP.split_whitespace().any(|hop| hop == name))
-            .filter(|(name, _)| !named.contains(name) && !stays(name))
+        let mut expected: Vec<Header> = (self.0.iter())
+            .filter(|(name, _)| !HOP_BY_HOP_FIELDS.split_whitespace().any(|hop| hop == name))
+            .filter(|(name, _)| !named.contains(name) && !is_removed(name))
             .map(|(name, value)| Header {
                 name: name.clone(),
                 value: value.clone(),
             })
             .collect();
-        passing.sort_by(|a, b| a.name.cmp(&b.name));
-        passing
+        expected.sort_by(|a, b| a.name.cmp(&b.name));
+        expected
     }
 }
 
-fn list(headers: Headers) -> Vec<Header> {
+fn to_vec(headers: Headers) -> Vec<Header> {
     headers.iter().cloned().collect()
 }
 
 quickcheck! {
-    // Guards against end-to-end fields that are lost or merged, and fields of one connection that
-    // reach the caller.
-    fn answers_of_plain_services_keep_exactly_their_end_to_end_fields(lines: Lines) -> bool {
-        let own = |name: &str| ["content-type", "x-request-id", "x-served-by"].contains(&name);
-        let passed = answer_headers(&lines.fields(), ServiceKind::Plain).expect("few fields");
-        list(passed) == lines.passing(own)
+    // Guards against end-to-end fields that are lost or merged, and hop-by-hop fields that reach
+    // the caller.
+    fn responses_of_plain_services_keep_exactly_their_end_to_end_fields(
+        fields: RandomFields,
+    ) -> bool {
+        let is_removed =
+            |name: &str| ["content-type", "x-request-id", "x-served-by"].contains(&name);
+        let selected =
+            answer_headers(&fields.to_headers(), ServiceKind::Plain).expect("few fields");
+        to_vec(selected) == fields.expected(is_removed)
     }
 
-    // Guards against a plain service that gets the credentials for the callers' port, or a field
-    // of the system's own protocol from a caller.
-    fn requests_to_plain_services_lose_own_fields_and_the_credential(lines: Lines) -> bool {
-        let own = |name: &str| {
-            name == "x-caller" || (name != "x-served-by" && OWN.split(' ').any(|own| own == name))
+    // Guards against a plain service that receives the caller's credential, or a field of this
+    // system's own protocol.
+    fn requests_to_plain_services_lose_system_fields_and_the_credential(
+        fields: RandomFields,
+    ) -> bool {
+        let is_removed = |name: &str| {
+            name == "x-caller"
+                || (name != "x-served-by" && SYSTEM_FIELDS.split(' ').any(|field| field == name))
         };
-        let passed = request_headers(&lines.fields(), ServiceKind::Plain, Some(CREDENTIAL));
-        list(passed.expect("few fields")) == lines.passing(own)
+        let selected = request_headers(&fields.to_headers(), ServiceKind::Plain, Some(CREDENTIAL));
+        to_vec(selected.expect("few fields")) == fields.expected(is_removed)
     }
 
-    // Guards against cookies and credentials of callers at model engines.
-    fn engines_exchange_few_fields(lines: Lines) -> bool {
-        let request = request_headers(&lines.fields(), ServiceKind::Model, None);
-        let answer = answer_headers(&lines.fields(), ServiceKind::Model).expect("few fields");
+    // Guards against cookies and credentials of callers that reach engines.
+    fn only_tracing_and_caching_fields_are_forwarded_for_engines(fields: RandomFields) -> bool {
+        let request = request_headers(&fields.to_headers(), ServiceKind::Model, None);
+        let answer = answer_headers(&fields.to_headers(), ServiceKind::Model).expect("few fields");
         request.expect("few fields").is_empty()
             && answer.iter().all(|header| header.name == "cache-control")
     }
 
-    // Guards against a peer or a row whose value would end a line of the head.
-    fn no_decoded_field_can_end_its_line(name: String, value: String, at: usize) -> bool {
+    // Guards against header injection: a name or value, decoded from a peer or a row, that
+    // contains a line break or a delimiter.
+    fn decoding_rejects_names_and_values_that_would_end_a_header_line(
+        name: String,
+        value: String,
+        at: usize
+    ) -> bool {
         let mut name: String = name.chars().filter(char::is_ascii_lowercase).collect();
         let mut value: String = value.chars().filter(|c| (' '..='~').contains(c)).collect();
         name.push('x');
@@ -119,24 +136,30 @@
             let json = serde_json::json!([{"name": name, "value": value}]);
             serde_json::from_value::<Headers>(json)
         };
-        let plain = decode(&name, &value).is_ok();
+        let accepts_valid = decode(&name, &value).is_ok();
         value.insert(at % (value.len() + 1), ['\r', '\n', '\0', '\u{e9}'][at % 4]);
-        let spoiled = decode(&name, &value).is_ok();
+        let accepts_invalid = decode(&name, &value).is_ok();
         name.insert(at % (name.len() + 1), ['\r', '\n', ':', ' '][at % 4]);
-        plain && !spoiled && decode(&name, "x").is_err()
+        accepts_valid && !accepts_invalid && decode(&name, "x").is_err()
     }
 }
 
-// Guards against heads that take memory without bound in frames and rows.
+// Guards against header fields of unlimited size in frames and rows.
 #[test]
-fn refuses_more_fields_or_bytes_than_the_limits() {
+fn rejects_header_fields_above_the_limits() {
     let header = |bytes: usize| Header {
         name: "x".to_owned(),
         value: "v".repeat(bytes),
     };
-    let of = |count: usize, bytes: usize| Headers::try_from(vec![header(bytes); count]);
-    assert!(of(HEADER_COUNT_LIMIT, 1).is_ok());
-    assert_eq!(of(HEADER_COUNT_LIMIT + 1, 1), Err(HeadersError::TooMany));
-    assert!(of(1, HEADER_BYTES_LIMIT - 1).is_ok());
-    assert_eq!(of(1, HEADER_BYTES_LIMIT), Err(HeadersError::TooLong));
+    let try_headers = |count: usize, bytes: usize| Headers::try_from(vec![header(bytes); count]);
+    assert!(try_headers(HEADER_COUNT_LIMIT, 1).is_ok());
+    assert_eq!(
+        try_headers(HEADER_COUNT_LIMIT + 1, 1),
+        Err(HeadersError::TooMany)
+    );
+    assert!(try_headers(1, HEADER_BYTES_LIMIT - 1).is_ok());
+    assert_eq!(
+        try_headers(1, HEADER_BYTES_LIMIT),
+        Err(HeadersError::TooLong)
+    );
 }
--- a/components/http/tests/server.rs
+++ b/components/http/tests/server.rs
@@ -1,12 +1,12 @@
-//! Behaviour of the server towards well-meaning and other peers.
+//! Server: valid, malformed, slow and disconnecting clients, and the limits.
 
 mod common;
 
 use std::time::Duration;
 
-use common::noted;
 use common::read_to_end;
 use common::send_raw;
+use common::wait_for_event;
 use common::with_server;
 use futures_lite::AsyncReadExt;
 use futures_lite::AsyncWriteExt;
@@ -22,7 +22,7 @@
     }
 }
 
-// Guards against a decoder that reads ahead and loses the second request.
+// Guards against a decoder that reads ahead and loses the next pipelined request.
 #[test]
 fn answers_pipelined_requests_in_order() {
     with_server(limits(), |server| async move {
@@ -35,9 +35,9 @@
     });
 }
 
-// Guards against smuggling, panics in async-h1 and unbounded heads.
+// Guards against request smuggling, panics in `async-h1` and heads of unlimited size.
 #[test]
-fn refuses_malformed_heads_and_runs_nothing() {
+fn rejects_malformed_requests_without_running_the_handler() {
     with_server(limits(), |server| async move {
         let many = "X: y\r\n".repeat(65);
         let long = "x".repeat(17 << 10);
@@ -70,13 +70,13 @@
             );
             assert!(answer.contains("application/problem+json"), "{answer}");
         }
-        assert!(server.echo.notes.borrow().is_empty());
+        assert!(server.echo.events.borrow().is_empty());
     });
 }
 
-// Guards against the 8 KiB limit of async-h1 inside our own limit of 16 KiB.
+// Guards against rejecting heads above the 8 KiB limit of `async-h1`; the server's limit is 16 KiB.
 #[test]
-fn accepts_heads_between_the_limit_of_the_decoder_and_its_own() {
+fn accepts_heads_larger_than_the_limit_of_the_decoder() {
     with_server(limits(), |server| async move {
         let cookie = "c".repeat(12 << 10);
         let request =
@@ -86,9 +86,9 @@
     });
 }
 
-// Guards against connections that are held open by half-sent requests.
+// Guards against connections that stay open because of incomplete requests.
 #[test]
-fn ends_half_sent_requests() {
+fn times_out_incomplete_requests() {
     with_server(limits(), |server| async move {
         let head = send_raw(server.addr, b"GET / HTTP/1.1\r\nHo").await;
         assert!(head.starts_with("HTTP/1.1 408"), "{head}");
@@ -96,46 +96,46 @@
         let body = send_raw(server.addr, body).await;
         assert!(body.starts_with("HTTP/1.1 408"), "{body}");
         assert_eq!(send_raw(server.addr, b"").await, "");
-        assert!(server.echo.notes.borrow().is_empty());
+        assert!(server.echo.events.borrow().is_empty());
     });
 }
 
-// Guards against work for callers that are gone.
+// Guards against work for clients that have disconnected.
 #[test]
-fn tells_the_handler_that_the_caller_hung_up() {
+fn reports_hang_ups_to_the_handler() {
     with_server(limits(), |server| async move {
         for path in ["/never", "/endless"] {
             let mut stream = TcpStream::connect(server.addr).await.unwrap();
             let request = format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n");
             stream.write_all(request.as_bytes()).await.unwrap();
-            assert!(noted(&server.echo, &format!("run {path}")).await);
+            assert!(wait_for_event(&server.echo, &format!("run {path}")).await);
             drop(stream);
-            assert!(noted(&server.echo, &format!("hung up {path}")).await);
+            assert!(wait_for_event(&server.echo, &format!("hung up {path}")).await);
         }
     });
 }
 
-// Guards against a stop that cuts off a request or waits for idle connections.
+// Guards against a shutdown that aborts a request or waits for idle connections.
 #[test]
-fn stops_after_the_last_answer() {
+fn finishes_requests_in_progress_when_stopped() {
     with_server(ServerLimits::default(), |server| async move {
         let mut idle = TcpStream::connect(server.addr).await.unwrap();
         let mut busy = TcpStream::connect(server.addr).await.unwrap();
         busy.write_all(b"GET /slow HTTP/1.1\r\nHost: a\r\n\r\n")
             .await
             .unwrap();
-        assert!(noted(&server.echo, "run /slow").await);
+        assert!(wait_for_event(&server.echo, "run /slow").await);
         server.stop.close();
         assert_eq!(read_to_end(&mut idle).await, "");
         let answer = read_to_end(&mut busy).await;
         assert!(answer.ends_with("slow"), "{answer}");
-        assert!(server.ended.recv().await.is_err());
+        assert!(server.serve_ended.recv().await.is_err());
     });
 }
 
-// Guards against memory use by any number of connections.
+// Guards against unlimited memory use by many connections.
 #[test]
-fn turns_connections_above_the_limit_away() {
+fn rejects_connections_above_the_limit() {
     let limits = ServerLimits {
         connections: 1,
         ..limits()
@@ -154,9 +154,9 @@
     });
 }
 
-// Guards against bodies that are sent in vain.
+// Guards against `100 Continue` for a request that is rejected by its head.
 #[test]
-fn asks_for_the_body_only_if_the_request_is_admitted() {
+fn sends_100_continue_only_if_the_request_is_admitted() {
     with_server(limits(), |server| async move {
         let head = "HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n";
         let mut stream = TcpStream::connect(server.addr).await.unwrap();
@@ -174,9 +174,9 @@
     });
 }
 
-// Guards against memory use by many large bodies that are each within the limit.
+// Guards against unlimited memory use by many bodies that are each within the limit of one body.
 #[test]
-fn refuses_bodies_that_do_not_fit_beside_the_held_ones() {
+fn rejects_bodies_above_the_limit_on_buffered_bytes() {
     let limits = ServerLimits {
         held_bodies_bytes: 1500,
         ..ServerLimits::default()
@@ -188,22 +188,22 @@
                 "POST {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 1000\r\n\r\n{body}"
             )
         };
-        let mut held = TcpStream::connect(server.addr).await.unwrap();
-        held.write_all(request("/never").as_bytes()).await.unwrap();
-        assert!(noted(&server.echo, "run /never").await);
+        let mut first = TcpStream::connect(server.addr).await.unwrap();
+        first.write_all(request("/never").as_bytes()).await.unwrap();
+        assert!(wait_for_event(&server.echo, "run /never").await);
         let refused = send_raw(server.addr, request("/b").as_bytes()).await;
         assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
         assert!(refused.contains("\"run\":\"not-run\""), "{refused}");
-        drop(held);
-        assert!(noted(&server.echo, "hung up /never").await);
+        drop(first);
+        assert!(wait_for_event(&server.echo, "hung up /never").await);
         let accepted = send_raw(server.addr, request("/b").as_bytes()).await;
         assert!(accepted.starts_with("HTTP/1.1 200"), "{accepted}");
     });
 }
 
-// Guards against connections that are kept open by empty lines.
+// Guards against empty lines that reset the idle timeout.
 #[test]
-fn closes_idle_connections_in_spite_of_empty_lines() {
+fn closes_idle_connections_that_send_only_empty_lines() {
     with_server(limits(), |server| async move {
         let mut stream = TcpStream::connect(server.addr).await.unwrap();
         let mut writer = stream.clone();
@@ -219,7 +219,8 @@
     });
 }
 
-// Guards against bytes after an answer without a body, which a peer takes for the next answer.
+// Guards against a body after a response that must not have one, which a peer would decode as the
+// next response.
 #[test]
 fn sends_no_body_where_the_status_allows_none() {
     with_server(limits(), |server| async move {
