--- a/components/callers/src/admission.rs
+++ b/components/callers/src/admission.rs
@@ -1,4 +1,4 @@
-//! Checks of a request before and after its body is read.
+//! Validation of requests before and after the body is read.
 
 use std::time::Duration;
 
@@ -17,39 +17,41 @@
 use crate::prompt::Prompt;
 use crate::prompt::parse_prompt;
 
-/// Longest `Idempotency-Key`.
+/// Longest accepted value of `Idempotency-Key`.
 const KEY_LIMIT_BYTES: usize = 255;
-/// Longest time that a caller can ask for, one day.
+/// Largest accepted value of `Request-Timeout-Ms`, one day.
 const TIMEOUT_LIMIT_MS: u64 = 86_400_000;
-/// Paths that an engine answers.
+/// Path of text completions on an engine.
 const COMPLETIONS: &str = "/v1/completions";
+/// Path of chat completions on an engine.
 const CHAT_COMPLETIONS: &str = "/v1/chat/completions";
 
-/// What a path addresses.
+/// Route of a request path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Route<'a> {
+pub(crate) enum Route<'a> {
     /// `GET /healthz`.
     Health,
     /// `GET /readyz`.
     Ready,
     /// `GET /metrics`.
     Metrics,
-    /// A path below a service.
+    /// `/services/{service}{path}`.
     Service {
-        /// Name of the service.
+        /// Syntactically valid, but not necessarily known.
         service: &'a str,
-        /// Path below the service.
+        /// Starts with `/`, without the query.
         path: &'a str,
     },
 }
 
 impl<'a> Route<'a> {
-    /// Route of a request.
+    /// Finds the route of a request.
     ///
     /// # Errors
     ///
-    /// `404` or `405`.
-    pub fn of(head: &'a Request) -> Result<Self, Problem> {
+    /// `404` for an unknown path, `405` for a method other than GET and HEAD on the paths of the
+    /// entry itself.
+    pub(crate) fn of(head: &'a Request) -> Result<Self, Problem> {
         let path = head.url().path();
         let route = match path {
             "/healthz" => Self::Health,
@@ -60,14 +62,14 @@
         if matches!(head.method(), HttpMethod::Get | HttpMethod::Head) {
             return Ok(route);
         }
-        Err(refused(405, "method-not-allowed", "use GET"))
+        Err(not_run_problem(405, "method-not-allowed", "use GET"))
     }
 }
 
 fn service_route(path: &str) -> Result<Route<'_>, Problem> {
     let unknown = || {
         let detail = "use /services/{service}/{path}, /healthz, /readyz or /metrics";
-        refused(404, "unknown-path", detail)
+        not_run_problem(404, "unknown-path", detail)
     };
     let rest = path.strip_prefix("/services/").ok_or_else(unknown)?;
     let (service, path) = match rest.find('/') {
@@ -75,40 +77,44 @@
         None => (rest, "/"),
     };
     if !is_name(service) {
-        return Err(refused(
+        return Err(not_run_problem(
             404,
             "unknown-service",
-            "no service has such a name",
+            "the path contains no valid service name",
         ));
     }
     Ok(Route::Service { service, path })
 }
 
-/// Checks what can be checked without the body.
+/// Validates a request by its head.
 pub(crate) fn check_head(head: &Request, path: &str, limits: &CallerLimits) -> Result<(), Problem> {
-    method(head)?;
-    key(head)?;
-    deadline(head)?;
+    parse_method(head)?;
+    idempotency_key(head)?;
+    request_timeout(head)?;
     if limits.kind == ServiceKind::Plain {
         return Ok(());
     }
     if !matches!(path, COMPLETIONS | CHAT_COMPLETIONS) {
-        let detail = "engines answer /v1/completions and /v1/chat/completions";
-        return Err(refused(404, "unknown-path", detail));
+        let detail = "engines support only /v1/completions and /v1/chat/completions";
+        return Err(not_run_problem(404, "unknown-path", detail));
     }
     if head.method() != HttpMethod::Post {
-        return Err(refused(405, "method-not-allowed", "use POST"));
+        return Err(not_run_problem(405, "method-not-allowed", "use POST"));
     }
-    let media_type = field(head, "content-type").unwrap_or_default();
+    let media_type = last_value(head, "content-type").unwrap_or_default();
     let essence = media_type.split(';').next().unwrap_or_default().trim();
     if essence.eq_ignore_ascii_case("application/json") {
         return Ok(());
     }
-    Err(refused(415, "unsupported-media-type", "use application/json").field("Content-Type"))
+    Err(
+        not_run_problem(415, "unsupported-media-type", "use application/json")
+            .field("Content-Type"),
+    )
 }
 
-/// Builds the submission of a request whose head was accepted.
-pub(crate) fn submission(
+/// Builds the submission of a request whose head was validated. `credential` names the field that
+/// identifies callers, which is not forwarded.
+pub(crate) fn build_submission(
     head: &Request,
     body: Vec<u8>,
     caller: CallerName,
@@ -116,7 +122,7 @@
     limits: &CallerLimits,
 ) -> Result<Submission, Problem> {
     let Route::Service { service, path } = Route::of(head)? else {
-        return Err(refused(
+        return Err(not_run_problem(
             404,
             "unknown-path",
             "use /services/{service}/{path}",
@@ -135,15 +141,17 @@
         },
     };
     let headers = http::request_headers(head.as_ref(), limits.kind, credential)
-        .map_err(|error| refused(431, "head-too-large", &error.to_string()))?;
+        .map_err(|error| not_run_problem(431, "head-too-large", &error.to_string()))?;
     let work = Work {
         service: service.to_owned(),
-        method: method(head)?,
+        method: parse_method(head)?,
         path: match head.url().query() {
             Some(query) => format!("{path}?{query}"),
             None => path.to_owned(),
         },
-        content_type: field(head, "content-type").unwrap_or_default().to_owned(),
+        content_type: last_value(head, "content-type")
+            .unwrap_or_default()
+            .to_owned(),
         headers,
         body,
         stream: prompt.stream,
@@ -155,12 +163,12 @@
     Ok(Submission {
         caller,
         work,
-        key: key(head)?.map(str::to_owned),
-        deadline_ms: deadline(head)?,
+        key: idempotency_key(head)?.map(str::to_owned),
+        deadline_ms: request_timeout(head)?,
     })
 }
 
-fn method(head: &Request) -> Result<Method, Problem> {
+fn parse_method(head: &Request) -> Result<Method, Problem> {
     match head.method() {
         HttpMethod::Get => Ok(Method::Get),
         HttpMethod::Head => Ok(Method::Head),
@@ -168,7 +176,7 @@
         HttpMethod::Delete => Ok(Method::Delete),
         HttpMethod::Post => Ok(Method::Post),
         HttpMethod::Patch => Ok(Method::Patch),
-        _ => Err(refused(
+        _ => Err(not_run_problem(
             405,
             "method-not-allowed",
             "use GET, HEAD, PUT, DELETE, POST or PATCH",
@@ -176,7 +184,7 @@
     }
 }
 
-fn key(head: &Request) -> Result<Option<&str>, Problem> {
+fn idempotency_key(head: &Request) -> Result<Option<&str>, Problem> {
     let Some(values) = head.header("idempotency-key") else {
         return Ok(None);
     };
@@ -184,17 +192,17 @@
     if values.iter().count() == 1 && (1..=KEY_LIMIT_BYTES).contains(&key.len()) {
         return Ok(Some(key));
     }
-    let detail = "state one key of 1 to 255 characters";
-    Err(refused(400, "bad-request", detail).field("Idempotency-Key"))
+    let detail = "use a single key of 1 to 255 characters";
+    Err(not_run_problem(400, "bad-request", detail).field("Idempotency-Key"))
 }
 
-fn deadline(head: &Request) -> Result<Option<Duration>, Problem> {
+fn request_timeout(head: &Request) -> Result<Option<Duration>, Problem> {
     let Some(values) = head.header("request-timeout-ms") else {
         return Ok(None);
     };
-    let stated = values.as_str();
-    let digits_only = !stated.is_empty() && stated.bytes().all(|b| b.is_ascii_digit());
-    match stated.parse::<u64>() {
+    let value = values.as_str();
+    let digits_only = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
+    match value.parse::<u64>() {
         Ok(ms)
             if digits_only
                 && values.iter().count() == 1
@@ -203,16 +211,17 @@
             Ok(Some(Duration::from_millis(ms)))
         }
         _ => {
-            let detail = format!("state one number of milliseconds from 1 to {TIMEOUT_LIMIT_MS}");
-            Err(refused(400, "bad-request", &detail).field("Request-Timeout-Ms"))
+            let detail =
+                format!("use a single number of milliseconds from 1 to {TIMEOUT_LIMIT_MS}");
+            Err(not_run_problem(400, "bad-request", &detail).field("Request-Timeout-Ms"))
         }
     }
 }
 
-fn field<'a>(head: &'a Request, name: &str) -> Option<&'a str> {
+fn last_value<'a>(head: &'a Request, name: &str) -> Option<&'a str> {
     head.header(name).map(|values| values.last().as_str())
 }
 
-fn refused(status: u16, kind: &str, detail: &str) -> Problem {
+fn not_run_problem(status: u16, kind: &str, detail: &str) -> Problem {
     Problem::new(status, kind, detail).run(RunState::NotRun)
 }
--- a/components/callers/src/gateway.rs
+++ b/components/callers/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the callers' side asks of the entry behind it.
+//! Interface between the callers' API and the entry.
 
 use async_channel::Receiver;
 use types::Refusal;
@@ -7,43 +7,43 @@
 use types::ServiceKind;
 use types::Submission;
 
-/// Limits for requests to one service, from its profile.
+/// Limits for requests to one service, set by its profile.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Engine or plain service.
+    /// Determines how requests are validated, and which header fields are forwarded.
     pub kind: ServiceKind,
-    /// Largest accepted body.
+    /// Largest accepted request body.
     pub body_limit_bytes: u64,
-    /// Largest accepted number of output tokens.
+    /// Largest accepted number of output tokens of a request, over all its completions.
     pub output_limit_tokens: u32,
 }
 
-/// Whether this entry should get requests.
+/// Health of this entry, for load balancers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Health {
-    /// Not stopping; `/healthz` fails otherwise.
+    /// The entry is not shutting down; `/healthz` fails otherwise.
     pub staying: bool,
-    /// Has a configuration; `/readyz` fails otherwise.
+    /// The entry has a configuration; `/readyz` fails otherwise.
     pub ready: bool,
 }
 
-/// The entry, as the callers' side sees it.
+/// Operations of the entry that the callers' API uses.
 pub trait Gateway {
-    /// Limits for a service.
+    /// Limits for requests to a service.
     ///
     /// # Errors
     ///
-    /// The refusal to answer with, if the service is unknown or the entry is not ready.
+    /// The refusal to return to the caller, if the service is unknown or the entry is not ready.
     fn limits(&self, service: &str) -> Result<CallerLimits, Refusal>;
-    /// Hands a request over. Parts of the answer arrive on the channel, which closes after the
+    /// Submits a request. The parts of the response arrive on the channel, which closes after the
     /// last one.
     fn submit(&self, submission: Submission) -> (RequestId, Receiver<Reply>);
-    /// The caller's socket took bytes of the answer.
+    /// Reports bytes of a response body that were written to the caller's socket.
     fn consumed(&self, request: RequestId, bytes: u64);
-    /// The caller hung up before the end of the answer.
+    /// Reports that the caller disconnected before the end of the response.
     fn hang_up(&self, request: RequestId);
-    /// Whether this entry should get requests.
+    /// Current health of this entry.
     fn health(&self) -> Health;
-    /// Metrics in Prometheus text form.
+    /// Metrics in the Prometheus text format.
     fn metrics(&self) -> String;
 }
--- a/components/callers/src/identity.rs
+++ b/components/callers/src/identity.rs
@@ -1,17 +1,18 @@
-//! Names of callers.
+//! Identification of callers.
 
 use std::net::SocketAddr;
 
 use settings::CallerIdentity;
 use types::CallerName;
 
-/// Name shared by callers that cannot be told apart.
+/// Name of callers whose request does not identify them.
 const ANONYMOUS: &str = "anonymous";
-/// Hex digits of a hashed credential, 64 bits.
+/// Hexadecimal digits of a hashed credential, 64 bits.
 const HASH_DIGITS: usize = 16;
 
-/// Names the caller of a request. Credentials are hashed, because names appear in logs and rows.
-pub(crate) fn name(
+/// Name of the caller of a request. Credentials are hashed, because names appear in logs and in
+/// the store.
+pub(crate) fn caller_name(
     identity: &CallerIdentity,
     head: &http_types::Request,
     peer: SocketAddr,
@@ -32,7 +33,7 @@
     }
 }
 
-/// Field that tells callers apart; it is for this port alone and no target gets it.
+/// Header field that identifies callers, if any; it is not forwarded to targets.
 pub(crate) fn credential_field(identity: &CallerIdentity) -> Option<&str> {
     match identity {
         CallerIdentity::Address => None,
--- a/components/callers/src/port.rs
+++ b/components/callers/src/port.rs
@@ -1,4 +1,4 @@
-//! The callers' port.
+//! HTTP handler of the callers' port.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,15 +24,15 @@
 
 use crate::admission;
 use crate::admission::Route;
-use crate::answer;
 use crate::gateway::Gateway;
 use crate::identity;
 use crate::refusal;
+use crate::relay;
 
-/// Time after which callers come back if too many requests are in flight.
-const BUSY_RETRY_MS: Duration = Duration::from_secs(1);
+/// `Retry-After` of a request above the limit on requests in flight.
+const OVERLOADED_RETRY_MS: Duration = Duration::from_secs(1);
 
-/// Handler of callers' requests.
+/// Handles callers' requests, and limits the number in flight.
 pub struct CallersPort {
     gateway: Rc<dyn Gateway>,
     identity: CallerIdentity,
@@ -41,7 +41,7 @@
     in_flight: Cell<usize>,
 }
 
-/// Serves callers until the stop channel is closed and every answer is finished.
+/// Serves callers until the stop channel is closed and the requests in progress are finished.
 ///
 /// # Errors
 ///
@@ -56,9 +56,9 @@
     http::serve(listener, server_limits(limits), port, executor, stop).await
 }
 
-/// Limits of callers' connections.
+/// Limits of connections from the settings.
 #[must_use]
-pub fn server_limits(limits: &Limits) -> ServerLimits {
+pub(crate) fn server_limits(limits: &Limits) -> ServerLimits {
     ServerLimits {
         connections: limits.connections,
         head_limit_bytes: limits.head_bytes,
@@ -72,7 +72,7 @@
 }
 
 impl CallersPort {
-    /// A port without requests.
+    /// Uses the limits and the caller identification of the settings.
     #[must_use]
     pub fn new(settings: &EntrySettings, gateway: Rc<dyn Gateway>) -> Self {
         Self {
@@ -84,19 +84,20 @@
         }
     }
 
-    /// Requests in flight.
+    /// Number of submitted requests whose response is not complete.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Takes over changed limits: that of requests at once, the others for new connections.
+    /// Applies changed limits: the limit on requests in flight at once, the other limits to new
+    /// connections.
     pub fn set_limits(&self, limits: &Limits) {
         self.request_limit.set(limits.requests);
         self.connection_limits.set(server_limits(limits));
     }
 
-    async fn answer(&self, request: Request, exchange: &mut Exchange) -> Result<u16, HungUp> {
+    async fn respond(&self, request: Request, exchange: &mut Exchange) -> Result<u16, HungUp> {
         match Route::of(&request.head) {
             Ok(Route::Health) => self.report(exchange, self.gateway.health().staying).await,
             Ok(Route::Ready) => {
@@ -112,17 +113,17 @@
             Ok(Route::Service { service, .. }) => match self.gateway.limits(service) {
                 Ok(limits) => {
                     let peer = request.peer;
-                    let caller = identity::name(&self.identity, &request.head, peer);
+                    let caller = identity::caller_name(&self.identity, &request.head, peer);
                     let credential = identity::credential_field(&self.identity);
                     let (head, body) = (&request.head, request.body);
-                    match admission::submission(head, body, caller, credential, &limits) {
+                    match admission::build_submission(head, body, caller, credential, &limits) {
                         Ok(submission) => self.submit(submission, exchange).await,
-                        Err(problem) => send(exchange, &problem).await,
+                        Err(problem) => send_problem(exchange, &problem).await,
                     }
                 }
-                Err(refused) => send(exchange, &refusal::problem(&refused)).await,
+                Err(refusal) => send_problem(exchange, &refusal::problem(&refusal)).await,
             },
-            Err(problem) => send(exchange, &problem).await,
+            Err(problem) => send_problem(exchange, &problem).await,
         }
     }
 
@@ -132,11 +133,11 @@
         exchange: &mut Exchange,
     ) -> Result<u16, HungUp> {
         if self.in_flight.get() >= self.request_limit.get() {
-            return send(exchange, &busy()).await;
+            return send_problem(exchange, &overloaded()).await;
         }
         self.in_flight.set(self.in_flight.get() + 1);
         let (request, replies) = self.gateway.submit(submission);
-        let result = answer::relay(&*self.gateway, request, &replies, exchange).await;
+        let result = relay::relay_response(&*self.gateway, request, &replies, exchange).await;
         self.in_flight.set(self.in_flight.get() - 1);
         if result.is_err() {
             self.gateway.hang_up(request);
@@ -165,10 +166,10 @@
         let limits = self
             .gateway
             .limits(service)
-            .map_err(|refused| refusal::problem(&refused))?;
+            .map_err(|refusal| refusal::problem(&refusal))?;
         admission::check_head(head, path, &limits)?;
         if self.in_flight.get() >= self.request_limit.get() {
-            return Err(busy());
+            return Err(overloaded());
         }
         Ok(limits.body_limit_bytes)
     }
@@ -179,11 +180,11 @@
 
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
         if !self.gateway.health().staying {
-            // Callers move to another entry before this one closes its listener.
+            // Makes callers reconnect to another entry before this one closes its listener.
             exchange.close_after();
         }
         Box::pin(async move {
-            let class = match self.answer(request, exchange).await {
+            let class = match self.respond(request, exchange).await {
                 Ok(200..=299) => "2xx",
                 Ok(400..=499) => "4xx",
                 Ok(500..=599) => "5xx",
@@ -195,14 +196,18 @@
     }
 }
 
-async fn send(exchange: &mut Exchange, problem: &Problem) -> Result<u16, HungUp> {
+async fn send_problem(exchange: &mut Exchange, problem: &Problem) -> Result<u16, HungUp> {
     let (head, body) = problem.to_answer();
     exchange.respond(head, &body).await?;
     Ok(problem.status)
 }
 
-fn busy() -> Problem {
-    Problem::new(503, "overloaded", "too many requests are in flight here")
-        .run(RunState::NotRun)
-        .retry_after(BUSY_RETRY_MS)
+fn overloaded() -> Problem {
+    Problem::new(
+        503,
+        "overloaded",
+        "this entry has reached its limit on requests in flight",
+    )
+    .run(RunState::NotRun)
+    .retry_after(OVERLOADED_RETRY_MS)
 }
--- a/components/callers/src/prompt.rs
+++ b/components/callers/src/prompt.rs
@@ -1,5 +1,4 @@
-//! What an entry reads in the body of a completion request. The body itself is passed on
-//! unchanged.
+//! Parsing of completion requests. The body itself is forwarded unchanged.
 
 use std::borrow::Cow;
 
@@ -10,26 +9,26 @@
 
 use crate::prefix::PrefixHasher;
 
-/// Completions of one request at most.
+/// Largest accepted value of `n`, the number of completions of one request.
 const CHOICE_LIMIT: u64 = 16;
 
-/// What routing and admission need to know of a completion request.
+/// Properties of a completion request that admission and routing use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
-    /// The caller asked for server-sent events.
+    /// The caller requested server-sent events.
     pub stream: bool,
-    /// Model that the caller named; empty if none.
+    /// Model named in the request; empty if none.
     pub model: String,
-    /// Estimated length of the prompt.
+    /// Estimated length of the prompt, at `TOKEN_BYTES` bytes per token.
     pub prompt_tokens: u32,
-    /// Upper bound of the output.
+    /// Upper bound on the output tokens of all completions.
     pub max_output_tokens: u32,
-    /// Hash of the prompt's prefix after each whole cache piece.
+    /// Hash of the prompt's prefix up to the end of each complete cache piece.
     pub prefixes: Vec<u64>,
 }
 
 #[derive(Deserialize)]
-struct Completion<'a> {
+struct CompletionRequest<'a> {
     #[serde(borrow, default)]
     model: Option<Cow<'a, str>>,
     #[serde(borrow, default)]
@@ -76,25 +75,26 @@
     text: Option<Cow<'a, str>>,
 }
 
-/// Reads the body of a completion request; `chat` expects `messages` instead of `prompt`.
+/// Parses the body of a completion request; with `chat`, of a chat completion request, which has
+/// `messages` instead of `prompt`.
 ///
 /// # Errors
 ///
-/// A problem document with the field at fault.
+/// A problem document. It names the invalid field unless the body as a whole cannot be decoded.
 pub fn parse_prompt(body: &[u8], chat: bool, output_limit_tokens: u32) -> Result<Prompt, Problem> {
-    let completion: Completion<'_> = serde_json::from_slice(body)
-        .map_err(|error| bad_request(format!("the body is not what it should be: {error}")))?;
-    let max_output_tokens = output_bound(&completion, output_limit_tokens)?;
+    let completion: CompletionRequest<'_> = serde_json::from_slice(body)
+        .map_err(|error| bad_request(format!("the body is not a completion request: {error}")))?;
+    let max_output_tokens = parse_max_output_tokens(&completion, output_limit_tokens)?;
     let mut hasher = PrefixHasher::default();
     match (chat, &completion.prompt, &completion.messages) {
         (true, _, Some(messages)) if !messages.is_empty() => {
             for message in messages {
-                push_message(message, &mut hasher);
+                hash_message(message, &mut hasher);
             }
         }
-        (true, ..) => return Err(bad_field("messages", "state at least one message")),
-        (false, Some(prompt), _) => push_prompt(prompt, &mut hasher),
-        (false, None, _) => return Err(bad_field("prompt", "state a prompt")),
+        (true, ..) => return Err(bad_field("messages", "add at least one message")),
+        (false, Some(prompt), _) => hash_prompt(prompt, &mut hasher),
+        (false, None, _) => return Err(bad_field("prompt", "add a prompt")),
     }
     let (prompt_tokens, prefixes) = hasher.finish();
     Ok(Prompt {
@@ -106,8 +106,11 @@
     })
 }
 
-fn output_bound(completion: &Completion<'_>, limit_tokens: u32) -> Result<u32, Problem> {
-    let (field, stated) = match (&completion.max_completion_tokens, &completion.max_tokens) {
+fn parse_max_output_tokens(
+    completion: &CompletionRequest<'_>,
+    limit_tokens: u32,
+) -> Result<u32, Problem> {
+    let (field, requested) = match (&completion.max_completion_tokens, &completion.max_tokens) {
         (Some(number), _) => ("max_completion_tokens", Some(number)),
         (None, number) => ("max_tokens", number.as_ref()),
     };
@@ -118,52 +121,52 @@
             .filter(|n| (1..=CHOICE_LIMIT).contains(n))
             .ok_or_else(|| bad_field("n", format!("use 1 to {CHOICE_LIMIT}")))?,
     };
-    let Some(stated) = stated else {
+    let Some(requested) = requested else {
         return Ok(limit_tokens);
     };
-    stated
+    requested
         .as_u64()
         .filter(|tokens| *tokens >= 1)
         .and_then(|tokens| tokens.checked_mul(choices))
         .and_then(|tokens| u32::try_from(tokens).ok())
         .filter(|tokens| *tokens <= limit_tokens)
         .ok_or_else(|| {
-            let highest = u64::from(limit_tokens) / choices;
-            bad_field(field, format!("use 1 to {highest}"))
+            let max_per_choice = u64::from(limit_tokens) / choices;
+            bad_field(field, format!("use 1 to {max_per_choice}"))
         })
 }
 
-fn push_message(message: &Message<'_>, hasher: &mut PrefixHasher) {
-    hasher.push(message.role.as_bytes());
-    hasher.push(b"\n");
+fn hash_message(message: &Message<'_>, hasher: &mut PrefixHasher) {
+    hasher.update(message.role.as_bytes());
+    hasher.update(b"\n");
     match &message.content {
-        Some(Content::Text(text)) => hasher.push(text.as_bytes()),
+        Some(Content::Text(text)) => hasher.update(text.as_bytes()),
         Some(Content::Parts(parts)) => parts
             .iter()
             .filter_map(|part| part.text.as_deref())
-            .for_each(|text| hasher.push(text.as_bytes())),
+            .for_each(|text| hasher.update(text.as_bytes())),
         None => {}
     }
-    hasher.push(b"\n");
+    hasher.update(b"\n");
 }
 
-fn push_prompt(prompt: &PromptText<'_>, hasher: &mut PrefixHasher) {
+fn hash_prompt(prompt: &PromptText<'_>, hasher: &mut PrefixHasher) {
     match prompt {
-        PromptText::Text(text) => hasher.push(text.as_bytes()),
-        PromptText::Texts(texts) => texts.iter().for_each(|text| hasher.push(text.as_bytes())),
-        PromptText::Tokens(tokens) => push_tokens(tokens, hasher),
+        PromptText::Text(text) => hasher.update(text.as_bytes()),
+        PromptText::Texts(texts) => texts.iter().for_each(|text| hasher.update(text.as_bytes())),
+        PromptText::Tokens(tokens) => hash_tokens(tokens, hasher),
         PromptText::TokenLists(lists) => {
             for tokens in lists {
-                push_tokens(tokens, hasher);
+                hash_tokens(tokens, hasher);
             }
         }
     }
 }
 
-/// A token id takes four bytes, which is also what an estimated token takes.
-fn push_tokens(tokens: &[u32], hasher: &mut PrefixHasher) {
+/// Hashes each token ID as four bytes, so that it counts as one token in the estimate.
+fn hash_tokens(tokens: &[u32], hasher: &mut PrefixHasher) {
     for token in tokens {
-        hasher.push(&token.to_le_bytes());
+        hasher.update(&token.to_le_bytes());
     }
 }
 
@@ -171,6 +174,6 @@
     Problem::new(400, "bad-request", detail).run(RunState::NotRun)
 }
 
-fn bad_field(field: &str, fix: impl Into<String>) -> Problem {
-    bad_request(fix.into()).field(field)
+fn bad_field(field: &str, detail: impl Into<String>) -> Problem {
+    bad_request(detail.into()).field(field)
 }
--- a/components/callers/src/refusal.rs
+++ b/components/callers/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals as HTTP answers.
+//! Conversion of refusals to HTTP error responses.
 
 use http::Problem;
 use types::Refusal;
@@ -6,7 +6,7 @@
 
 /// HTTP status of a refusal.
 #[must_use]
-pub fn status(reason: RefusalReason) -> u16 {
+pub(crate) fn status(reason: RefusalReason) -> u16 {
     match reason {
         RefusalReason::BadRequest | RefusalReason::KeyRequired => 400,
         RefusalReason::UnknownService => 404,
@@ -23,7 +23,7 @@
 
 /// Problem document of a refusal.
 #[must_use]
-pub fn problem(refusal: &Refusal) -> Problem {
+pub(crate) fn problem(refusal: &Refusal) -> Problem {
     let problem = Problem::new(
         status(refusal.reason),
         kind(refusal.reason),
--- a/components/callers/src/relay.rs
+++ b/components/callers/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on to the caller.
+//! Relaying of a response to the caller.
 
 use async_channel::Receiver;
 use http::Exchange;
@@ -12,27 +12,29 @@
 use crate::gateway::Gateway;
 use crate::refusal;
 
-/// Bytes of an answer that are gathered into one write.
-const GATHER_LIMIT_BYTES: usize = 64 << 10;
+/// Size from which no more parts of a body are merged into one write.
+const BATCH_LIMIT_BYTES: usize = 64 << 10;
 /// Media type of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// What has arrived of the body without waiting.
-struct Gathered {
+/// Parts of the body that were available without waiting.
+struct Batch {
     body: Vec<u8>,
-    then: Then,
+    end: BatchEnd,
 }
 
-enum Then {
+/// State of the response after a batch.
+enum BatchEnd {
+    /// More parts may follow.
     More,
     End,
     Refused(Refusal),
-    /// The channel closed without an end.
-    Lost,
+    /// The channel was closed before the end of the response.
+    Aborted,
 }
 
-/// Relays one answer; returns the status sent.
-pub(crate) async fn relay(
+/// Relays one response to the caller; returns its status.
+pub(crate) async fn relay_response(
     gateway: &dyn Gateway,
     request: RequestId,
     replies: &Receiver<Reply>,
@@ -46,72 +48,72 @@
                 headers,
                 served_by,
             }) => (status, content_type, headers, served_by),
-            Ok(Reply::Refused(refusal)) => return refuse(exchange, request, &refusal).await,
+            Ok(Reply::Refused(refusal)) => return send_refusal(exchange, request, &refusal).await,
             Ok(Reply::Body(_) | Reply::End) | Err(_) => return Ok(500),
         };
     let mut head = Response::new(status_code(status));
     for field in headers.iter() {
         head.append_header(field.name.as_str(), field.value.as_str());
     }
-    insert(&mut head, "content-type", &content_type);
-    insert(&mut head, "x-served-by", &served_by);
+    insert_if_valid(&mut head, "content-type", &content_type);
+    insert_if_valid(&mut head, "x-served-by", &served_by);
     insert_request_id(&mut head, request);
-    let gathered = gather(replies, Vec::new());
-    if matches!(gathered.then, Then::End) {
-        exchange.respond(head, &gathered.body).await?;
-        gateway.consumed(request, gathered.body.len() as u64);
+    let batch = collect_batch(replies, Vec::new());
+    if matches!(batch.end, BatchEnd::End) {
+        exchange.respond(head, &batch.body).await?;
+        gateway.consumed(request, batch.body.len() as u64);
         return Ok(status);
     }
     exchange.queue_head(head);
-    let events = content_type.starts_with(EVENT_STREAM);
-    stream(gateway, request, replies, exchange, gathered, events).await?;
+    let is_event_stream = content_type.starts_with(EVENT_STREAM);
+    stream_body(gateway, request, replies, exchange, batch, is_event_stream).await?;
     Ok(status)
 }
 
-async fn stream(
+async fn stream_body(
     gateway: &dyn Gateway,
     request: RequestId,
     replies: &Receiver<Reply>,
     exchange: &mut Exchange,
-    mut gathered: Gathered,
-    events: bool,
+    mut batch: Batch,
+    is_event_stream: bool,
 ) -> Result<(), HungUp> {
     loop {
-        exchange.queue(&gathered.body);
-        match gathered.then {
-            Then::End => exchange.finish().await?,
+        exchange.queue(&batch.body);
+        match batch.end {
+            BatchEnd::End => exchange.finish().await?,
             _ => exchange.flush().await?,
         }
-        if !gathered.body.is_empty() {
-            gateway.consumed(request, gathered.body.len() as u64);
+        if !batch.body.is_empty() {
+            gateway.consumed(request, batch.body.len() as u64);
         }
-        match gathered.then {
-            Then::More => {}
-            Then::Refused(refusal) if events => {
+        match batch.end {
+            BatchEnd::More => {}
+            BatchEnd::Refused(refusal) if is_event_stream => {
                 return exchange.write(&error_event(&refusal)).await;
             }
-            // Without the end of the chunked encoding the caller sees an incomplete answer.
-            Then::End | Then::Lost | Then::Refused(_) => return Ok(()),
+            // A response that failed gets no last chunk, so that the caller sees it as truncated.
+            BatchEnd::End | BatchEnd::Aborted | BatchEnd::Refused(_) => return Ok(()),
         }
-        gathered = match exchange.or_hang_up(replies.recv()).await? {
-            Ok(Reply::Body(body)) => gather(replies, body),
-            Ok(Reply::End) => then(Then::End),
-            Ok(Reply::Refused(refusal)) => then(Then::Refused(refusal)),
-            Ok(Reply::Head { .. }) | Err(_) => then(Then::Lost),
+        batch = match exchange.or_hang_up(replies.recv()).await? {
+            Ok(Reply::Body(body)) => collect_batch(replies, body),
+            Ok(Reply::End) => empty_batch(BatchEnd::End),
+            Ok(Reply::Refused(refusal)) => empty_batch(BatchEnd::Refused(refusal)),
+            Ok(Reply::Head { .. }) | Err(_) => empty_batch(BatchEnd::Aborted),
         };
     }
 }
 
-fn then(then: Then) -> Gathered {
-    Gathered {
+fn empty_batch(end: BatchEnd) -> Batch {
+    Batch {
         body: Vec::new(),
-        then,
+        end,
     }
 }
 
-fn gather(replies: &Receiver<Reply>, mut body: Vec<u8>) -> Gathered {
-    while body.len() < GATHER_LIMIT_BYTES {
-        let then = match replies.try_recv() {
+fn collect_batch(replies: &Receiver<Reply>, mut body: Vec<u8>) -> Batch {
+    while body.len() < BATCH_LIMIT_BYTES {
+        let end = match replies.try_recv() {
             Ok(Reply::Body(next)) if body.is_empty() => {
                 body = next;
                 continue;
@@ -120,41 +122,42 @@
                 body.extend_from_slice(&next);
                 continue;
             }
-            Ok(Reply::End) => Then::End,
-            Ok(Reply::Refused(refusal)) => Then::Refused(refusal),
-            Ok(Reply::Head { .. }) | Err(async_channel::TryRecvError::Closed) => Then::Lost,
-            Err(async_channel::TryRecvError::Empty) => Then::More,
+            Ok(Reply::End) => BatchEnd::End,
+            Ok(Reply::Refused(refusal)) => BatchEnd::Refused(refusal),
+            Ok(Reply::Head { .. }) | Err(async_channel::TryRecvError::Closed) => BatchEnd::Aborted,
+            Err(async_channel::TryRecvError::Empty) => BatchEnd::More,
         };
-        return Gathered { body, then };
+        return Batch { body, end };
     }
-    Gathered {
+    Batch {
         body,
-        then: Then::More,
+        end: BatchEnd::More,
     }
 }
 
-async fn refuse(
+async fn send_refusal(
     exchange: &mut Exchange,
     request: RequestId,
-    refused: &Refusal,
+    refusal: &Refusal,
 ) -> Result<u16, HungUp> {
-    let problem = refusal::problem(refused);
+    let problem = refusal::problem(refusal);
     let (mut head, body) = problem.to_answer();
     insert_request_id(&mut head, request);
-    if refused.retry_after_ms.is_none() {
-        // Clients of the usual language model interfaces repeat every 5xx unless they see this.
+    if refusal.retry_after_ms.is_none() {
+        // Common client libraries for language models retry every 5xx response without this field.
         head.insert_header("x-should-retry", "false");
     }
     exchange.respond(head, &body).await?;
     Ok(problem.status)
 }
 
-fn error_event(refused: &Refusal) -> Vec<u8> {
-    let document = serde_json::to_string(&refusal::problem(refused)).unwrap_or_default();
+fn error_event(refusal: &Refusal) -> Vec<u8> {
+    let document = serde_json::to_string(&refusal::problem(refusal)).unwrap_or_default();
     format!("event: error\ndata: {document}\n\n").into_bytes()
 }
 
-/// `http-types` knows the registered statuses only; others become the first of their class.
+/// `http-types` supports only registered statuses; others are replaced by the first one of their
+/// class, such as 400.
 fn status_code(status: u16) -> StatusCode {
     StatusCode::try_from(status)
         .or_else(|_| StatusCode::try_from(status / 100 * 100))
@@ -165,8 +168,9 @@
     head.insert_header("x-request-id", format!("{request:032x}"));
 }
 
-/// Leaves out values that are no field value, on which `http-types` panics.
-fn insert(head: &mut Response, name: &'static str, value: &str) {
+/// Omits empty values, and values that are not printable ASCII, because `http-types` panics on
+/// invalid ones.
+fn insert_if_valid(head: &mut Response, name: &'static str, value: &str) {
     if !value.is_empty() && value.bytes().all(|b| (b' '..=b'~').contains(&b)) {
         head.insert_header(name, value);
     }
