--- a/components/operators/src/auth.rs
+++ b/components/operators/src/auth.rs
@@ -1,12 +1,12 @@
-//! Operators' tokens.
+//! Authentication of operators by bearer token.
 
 use settings::OperatorSettings;
 
-/// Operators by the hash of their token.
+/// Names of the operators with the hashes of their tokens.
 #[derive(Debug)]
-pub(crate) struct Operators(Vec<(String, blake3::Hash)>);
+pub(crate) struct OperatorTokens(Vec<(String, blake3::Hash)>);
 
-impl Operators {
+impl OperatorTokens {
     pub(crate) fn new(operators: &[OperatorSettings]) -> Self {
         Self(
             operators
@@ -19,19 +19,19 @@
         )
     }
 
-    /// Name of the operator with the token of an `Authorization` field.
+    /// Name of the operator whose token an `Authorization` field contains; `None` if there is none.
     ///
-    /// Hashes compare in constant time, and all of them are compared, so that the time of the
-    /// answer tells nothing about a token.
-    pub(crate) fn name_of(&self, authorization: &str) -> Option<&str> {
+    /// Each hash is compared in constant time, and all hashes are compared, so that the response
+    /// time reveals nothing about a token.
+    pub(crate) fn authenticate(&self, authorization: &str) -> Option<&str> {
         let (scheme, token) = authorization.split_once(' ')?;
         if !scheme.eq_ignore_ascii_case("bearer") {
             return None;
         }
         let given = blake3::hash(token.trim().as_bytes());
         self.0.iter().fold(None, |found, (name, hash)| {
-            let equal = *hash == given;
-            if equal { Some(name.as_str()) } else { found }
+            let is_equal = *hash == given;
+            if is_equal { Some(name.as_str()) } else { found }
         })
     }
 }
--- a/components/operators/src/client.rs
+++ b/components/operators/src/client.rs
@@ -1,4 +1,4 @@
-//! Client of the operators' port.
+//! Client of the operators' API.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,27 +20,27 @@
 use types::Revision;
 use types::Service;
 
-/// A profile and the revision of the change that put it in force.
+/// An active profile, as returned by `GET /profiles`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProfileInForce {
-    /// Revision of its latest change.
+    /// Revision of the profile's latest change.
     pub revision: Revision,
-    /// The profile.
+    /// Content of the profile at this revision.
     pub profile: Profile,
 }
 
-/// A call that failed.
+/// Error of a request to the operators' API.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorError {
-    /// The entry refused or could not carry out the command.
+    /// The entry rejected the command or could not execute it.
     Command(CommandError),
-    /// The entry did not understand or accept the request.
+    /// The entry rejected the HTTP request, for example for its token.
     Refused(Box<Problem>),
-    /// The entry was not reached; nothing was changed.
+    /// The request was not sent; nothing was changed.
     Unreachable(String),
-    /// The entry's answer was lost; a command may have been carried out.
+    /// The response was lost; a command may have been executed.
     Interrupted(String),
-    /// The entry's answer makes no sense to this version.
+    /// The response could not be decoded, for example because the entry has another version.
     Malformed(String),
 }
 
@@ -52,15 +52,15 @@
             Self::Unreachable(detail) => {
                 write!(
                     f,
-                    "the entry was not reached ({detail}); check --entry, or use another entry"
+                    "could not connect to the entry ({detail}); check --entry, or use another entry"
                 )
             }
             Self::Interrupted(detail) => write!(
                 f,
-                "the entry's answer is lost ({detail}); look at `chervilspool audit` before you \
+                "the entry's response was lost ({detail}); check `chervilspool audit` before you \
                  repeat a command"
             ),
-            Self::Malformed(detail) => write!(f, "the entry's answer is malformed: {detail}"),
+            Self::Malformed(detail) => write!(f, "the entry's response is malformed: {detail}"),
         }
     }
 }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Client of one entry's operators' port.
+/// Client of the operators' API of one entry.
 #[derive(Debug, Clone)]
 pub struct OperatorsClient {
     http: Client,
@@ -84,7 +84,7 @@
 }
 
 impl OperatorsClient {
-    /// A client that has not connected yet.
+    /// A client that connects when a request is sent.
     #[must_use]
     pub fn new(addr: SocketAddr, token: &str) -> Self {
         Self {
@@ -93,57 +93,58 @@
         }
     }
 
-    /// Carries out a command.
+    /// Executes a command.
     ///
     /// # Errors
     ///
-    /// Only `Interrupted` and `CommandError::Unanswered` leave open whether it was carried out.
+    /// Only after `Interrupted` and `CommandError::Unanswered` is it unknown whether the command
+    /// was executed.
     pub async fn execute(&self, request: &CommandRequest) -> Result<CommandOutcome, OperatorError> {
-        let body = serde_json::to_vec(request).map_err(malformed)?;
+        let body = serde_json::to_vec(request).map_err(decode_error)?;
         self.call(Method::Post, "/commands", body).await
     }
 
-    /// Profiles in force at the entry.
+    /// Active profiles in the entry's configuration.
     ///
     /// # Errors
     ///
-    /// If the entry does not answer.
+    /// If the request fails.
     pub async fn profiles(&self) -> Result<Vec<ProfileInForce>, OperatorError> {
         self.get("/profiles").await
     }
 
-    /// Services in force at the entry.
+    /// Services in the entry's configuration.
     ///
     /// # Errors
     ///
-    /// If the entry does not answer.
+    /// If the request fails.
     pub async fn services(&self) -> Result<Vec<Service>, OperatorError> {
         self.get("/services").await
     }
 
-    /// State of the fleet as the entry sees it.
+    /// State of targets and entries from the view of the entry.
     ///
     /// # Errors
     ///
-    /// If the entry does not answer.
+    /// If the request fails.
     pub async fn status(&self) -> Result<serde_json::Value, OperatorError> {
         self.get("/status").await
     }
 
-    /// What is known about a request id or target name.
+    /// Information about a request ID or target name.
     ///
     /// # Errors
     ///
-    /// `CommandError::NotFound` if nothing is.
+    /// `CommandError::NotFound` if the entry has none.
     pub async fn explain(&self, subject: &str) -> Result<serde_json::Value, OperatorError> {
         self.get(&format!("/explain/{subject}")).await
     }
 
-    /// Records of the change log, newest first.
+    /// Records of the audit trail, newest first: at most `limit`, with revisions below `before`.
     ///
     /// # Errors
     ///
-    /// If the entry or the table does not answer.
+    /// If the request fails, or the entry cannot read the table.
     pub async fn audit(
         &self,
         before: Option<Revision>,
@@ -171,13 +172,13 @@
         request.set_body(body);
         let answer = self.http.send_whole(request).await?;
         if answer.status.is_success() {
-            return serde_json::from_slice(&answer.body).map_err(malformed);
+            return serde_json::from_slice(&answer.body).map_err(decode_error);
         }
-        Err(failure(&answer))
+        Err(response_error(&answer))
     }
 }
 
-fn failure(answer: &WholeResponse) -> OperatorError {
+fn response_error(answer: &WholeResponse) -> OperatorError {
     if let Ok(error) = serde_json::from_slice(&answer.body) {
         return OperatorError::Command(error);
     }
@@ -188,6 +189,6 @@
 }
 
 #[allow(clippy::needless_pass_by_value)] // signature of map_err
-fn malformed(error: serde_json::Error) -> OperatorError {
+fn decode_error(error: serde_json::Error) -> OperatorError {
     OperatorError::Malformed(error.to_string())
 }
--- a/components/operators/src/control.rs
+++ b/components/operators/src/control.rs
@@ -1,4 +1,4 @@
-//! What the operators' port asks of the entry behind it.
+//! Interface between the operators' API and the entry.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -11,25 +11,25 @@
 use types::Revision;
 use types::Service;
 
-/// Future of a call; an entry runs on one thread.
+/// Future of an operation; not `Send`, because an entry runs on one thread.
 pub type ControlFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, CommandError>> + 'a>>;
 
-/// The entry, as the operators' port sees it.
+/// Operations of the entry that the operators' API uses.
 pub trait Control {
-    /// Carries out a command in the name of an operator.
+    /// Executes a command; the audit trail records `operator` as its author.
     fn execute(
         &self,
         operator: String,
         request: CommandRequest,
     ) -> ControlFuture<'_, CommandOutcome>;
-    /// Profiles in force here, with the revision of each.
+    /// Active profiles, each with the revision of its latest change.
     fn profiles(&self) -> Vec<(Revision, Profile)>;
-    /// Services in force here.
+    /// Services in this entry's configuration.
     fn services(&self) -> Vec<Service>;
-    /// Targets, entries and their revisions as this entry sees them, as JSON.
+    /// Targets, entries and their revisions from the view of this entry, as JSON.
     fn status(&self) -> serde_json::Value;
-    /// What is known about a request id or a target name, as JSON; `None` if nothing is.
+    /// Information about a request ID or a target name, as JSON; `None` if there is none.
     fn explain(&self, subject: &str) -> Option<serde_json::Value>;
-    /// Records of the change log, newest first, at most `limit` with a revision below `before`.
+    /// Records of the audit trail, newest first: at most `limit`, with revisions below `before`.
     fn audit(&self, before: Option<Revision>, limit: usize) -> ControlFuture<'_, Vec<Change>>;
 }
--- a/components/operators/src/lib.rs
+++ b/components/operators/src/lib.rs
@@ -1,21 +1,20 @@
-//! Operators' port of an entry, and the client that the command line uses.
+//! The entry's HTTP API for operators, and its client, which the command line uses.
 //!
-//! | route | answer |
+//! | route | response |
 //! | --- | --- |
 //! | `POST /commands` | `CommandOutcome`, or `CommandError` with a status |
 //! | `GET /profiles` | list of [`ProfileInForce`] |
 //! | `GET /services` | list of `Service` |
-//! | `GET /status` | state of the fleet as this entry sees it |
-//! | `GET /explain/{subject}` | what is known about a request id or target |
-//! | `GET /audit?before=R&limit=N` | records of the change log, newest first |
+//! | `GET /status` | state of targets and entries from the view of this entry |
+//! | `GET /explain/{subject}` | information about a request ID or a target |
+//! | `GET /audit?before=R&limit=N` | records of the audit trail, newest first |
 //!
-//! Every request carries `Authorization: Bearer {token}`; the operator's name goes into the audit
-//! trail.
-
-pub mod control;
+//! Every request needs `Authorization: Bearer {token}`. The operator's name is recorded in the
+//! audit trail.
 
 mod auth;
 mod client;
+mod control;
 mod port;
 
 pub use client::OperatorError;
@@ -23,6 +22,5 @@
 pub use client::ProfileInForce;
 pub use control::Control;
 pub use control::ControlFuture;
-pub use port::AUDIT_LIMIT;
 pub use port::OperatorsPort;
 pub use port::serve;
--- a/components/operators/src/port.rs
+++ b/components/operators/src/port.rs
@@ -1,4 +1,4 @@
-//! The operators' port.
+//! HTTP handler of the operators' port.
 
 use std::cell::RefCell;
 use std::io;
@@ -22,26 +22,26 @@
 use smol::LocalExecutor;
 use smol::net::TcpListener;
 
-use crate::auth::Operators;
+use crate::auth::OperatorTokens;
 use crate::client::ProfileInForce;
 use crate::control::Control;
 
-/// Most records that one read of the audit trail returns.
-pub const AUDIT_LIMIT: usize = 1000;
-/// Records that a read of the audit trail returns unless it says otherwise.
-const AUDIT_DEFAULT: usize = 50;
-/// Largest command; a profile takes less than 2 KiB.
+/// Largest number of records in a response to `GET /audit`.
+const AUDIT_MAX_RECORDS: usize = 1000;
+/// Number of records in a response to `GET /audit` without `limit`.
+const AUDIT_DEFAULT_RECORDS: usize = 50;
+/// Largest request body; the largest commands contain a profile, which has less than 2 KiB.
 const BODY_LIMIT_BYTES: u64 = 64 << 10;
-/// Connections of operators at once.
-const CONNECTIONS: usize = 64;
+/// Most open connections of operators.
+const CONNECTION_LIMIT: usize = 64;
 
-/// Handler of operators' requests.
+/// Authenticates operators and handles their requests.
 pub struct OperatorsPort {
     control: Rc<dyn Control>,
-    operators: RefCell<Operators>,
+    operators: RefCell<OperatorTokens>,
 }
 
-/// Serves operators until the stop channel is closed and every answer is finished.
+/// Serves operators until the stop channel is closed and the requests in progress are finished.
 ///
 /// # Errors
 ///
@@ -53,41 +53,43 @@
     stop: Receiver<()>,
 ) -> io::Result<()> {
     let limits = ServerLimits {
-        connections: CONNECTIONS,
+        connections: CONNECTION_LIMIT,
         ..ServerLimits::default()
     };
     http::serve(listener, limits, port, executor, stop).await
 }
 
 impl OperatorsPort {
-    /// A port for these operators.
+    /// Accepts the tokens of the given operators.
     #[must_use]
     pub fn new(operators: &[OperatorSettings], control: Rc<dyn Control>) -> Self {
         Self {
             control,
-            operators: RefCell::new(Operators::new(operators)),
+            operators: RefCell::new(OperatorTokens::new(operators)),
         }
     }
 
-    /// Takes over a changed list of operators.
+    /// Replaces the operators whose tokens are accepted.
     pub fn set_operators(&self, operators: &[OperatorSettings]) {
-        self.operators.replace(Operators::new(operators));
+        self.operators.replace(OperatorTokens::new(operators));
     }
 
-    fn operator(&self, head: &http_types::Request) -> Result<String, Problem> {
+    fn authenticate(&self, head: &http_types::Request) -> Result<String, Problem> {
         head.header("authorization")
             .and_then(|values| {
                 let operators = self.operators.borrow();
-                operators.name_of(values.last().as_str()).map(str::to_owned)
+                operators
+                    .authenticate(values.last().as_str())
+                    .map(str::to_owned)
             })
             .ok_or_else(|| {
-                let detail = "state `Authorization: Bearer` with an operator's token";
+                let detail = "send `Authorization: Bearer` with an operator's token";
                 Problem::new(401, "unauthorized", detail).field("Authorization")
             })
     }
 
-    async fn answer(&self, request: &Request, exchange: &mut Exchange) -> Result<(), HungUp> {
-        let operator = match self.operator(&request.head) {
+    async fn respond(&self, request: &Request, exchange: &mut Exchange) -> Result<(), HungUp> {
+        let operator = match self.authenticate(&request.head) {
             Ok(operator) => operator,
             Err(problem) => return send_problem(exchange, &problem).await,
         };
@@ -101,23 +103,23 @@
                     .into_iter()
                     .map(|(revision, profile)| ProfileInForce { revision, profile })
                     .collect();
-                send(exchange, StatusCode::Ok, &profiles).await
+                send_json(exchange, StatusCode::Ok, &profiles).await
             }
             (Method::Get, "/services") => {
-                send(exchange, StatusCode::Ok, &self.control.services()).await
+                send_json(exchange, StatusCode::Ok, &self.control.services()).await
             }
             (Method::Get, "/status") => {
-                send(exchange, StatusCode::Ok, &self.control.status()).await
+                send_json(exchange, StatusCode::Ok, &self.control.status()).await
             }
             (Method::Get, "/audit") => self.audit(&request.head, exchange).await,
             (Method::Get, _) if path.starts_with("/explain/") => {
                 self.explain(&path["/explain/".len()..], exchange).await
             }
-            _ => send_problem(exchange, &unknown_route()).await,
+            _ => send_problem(exchange, &unknown_path()).await,
         }
     }
 
-    /// A command is carried out to its end even if the operator hangs up.
+    /// Executes a command to its end even if the operator disconnects.
     async fn execute(
         &self,
         operator: String,
@@ -127,24 +129,28 @@
         let request: CommandRequest = match serde_json::from_slice(body) {
             Ok(request) => request,
             Err(error) => {
-                let problem = Problem::new(400, "bad-request", format!("no command: {error}"));
+                let problem = Problem::new(
+                    400,
+                    "bad-request",
+                    format!("the body is not a valid command: {error}"),
+                );
                 return send_problem(exchange, &problem).await;
             }
         };
         match self.control.execute(operator, request).await {
-            Ok(outcome) => send(exchange, StatusCode::Ok, &outcome).await,
-            Err(error) => send(exchange, status(&error), &error).await,
+            Ok(outcome) => send_json(exchange, StatusCode::Ok, &outcome).await,
+            Err(error) => send_json(exchange, error_status(&error), &error).await,
         }
     }
 
     async fn explain(&self, subject: &str, exchange: &mut Exchange) -> Result<(), HungUp> {
         if let Some(explanation) = self.control.explain(subject) {
-            return send(exchange, StatusCode::Ok, &explanation).await;
+            return send_json(exchange, StatusCode::Ok, &explanation).await;
         }
         let error = CommandError::NotFound {
             item: subject.to_owned(),
         };
-        send(exchange, StatusCode::NotFound, &error).await
+        send_json(exchange, StatusCode::NotFound, &error).await
     }
 
     async fn audit(
@@ -153,13 +159,14 @@
         exchange: &mut Exchange,
     ) -> Result<(), HungUp> {
         let mut before = None;
-        let mut limit = AUDIT_DEFAULT;
+        let mut limit = AUDIT_DEFAULT_RECORDS;
         for (name, value) in head.url().query_pairs() {
             let number = value.parse::<u64>().ok();
             match (&*name, number) {
                 ("before", Some(revision)) => before = Some(revision),
                 ("limit", Some(count)) => {
-                    limit = usize::try_from(count).map_or(AUDIT_LIMIT, |c| c.min(AUDIT_LIMIT));
+                    limit = usize::try_from(count)
+                        .map_or(AUDIT_MAX_RECORDS, |c| c.min(AUDIT_MAX_RECORDS));
                 }
                 _ => {
                     let detail = "use before=REVISION and limit=NUMBER";
@@ -169,26 +176,26 @@
             }
         }
         match self.control.audit(before, limit).await {
-            Ok(changes) => send(exchange, StatusCode::Ok, &changes).await,
-            Err(error) => send(exchange, status(&error), &error).await,
+            Ok(changes) => send_json(exchange, StatusCode::Ok, &changes).await,
+            Err(error) => send_json(exchange, error_status(&error), &error).await,
         }
     }
 }
 
 impl Handler for OperatorsPort {
     fn admit(&self, head: &http_types::Request) -> Result<u64, Problem> {
-        self.operator(head).map(|_| BODY_LIMIT_BYTES)
+        self.authenticate(head).map(|_| BODY_LIMIT_BYTES)
     }
 
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
         Box::pin(async move {
-            // A hang-up needs no reaction: the command is already carried out.
-            let _ = self.answer(&request, exchange).await;
+            // If the operator has disconnected, no cleanup is needed: commands are not aborted.
+            let _ = self.respond(&request, exchange).await;
         })
     }
 }
 
-fn status(error: &CommandError) -> StatusCode {
+fn error_status(error: &CommandError) -> StatusCode {
     match error {
         CommandError::NotFound { .. } => StatusCode::NotFound,
         CommandError::Conflict { .. }
@@ -201,13 +208,13 @@
     }
 }
 
-fn unknown_route() -> Problem {
+fn unknown_path() -> Problem {
     let detail = "use POST /commands, or GET /profiles, /services, /status, /explain/{subject} or \
                   /audit";
     Problem::new(404, "unknown-path", detail)
 }
 
-async fn send(
+async fn send_json(
     exchange: &mut Exchange,
     status: StatusCode,
     body: &impl Serialize,
--- a/components/startup/src/lib.rs
+++ b/components/startup/src/lib.rs
@@ -1,4 +1,4 @@
-//! What both daemons make of their settings when they start.
+//! Start-up functions that the daemons share: incarnation, keyring and logger.
 
 use std::io;
 use std::sync::Mutex;
@@ -16,13 +16,14 @@
 use wire::Key;
 use wire::Keyring;
 
-/// Number of this run. 0 stands for a released row or lease and is never drawn.
+/// Random identifier of this run of the process. 0 is never returned, because it marks a released
+/// row or lease.
 #[must_use]
 pub fn incarnation() -> Incarnation {
     rand::random::<u64>().max(1)
 }
 
-/// Keys for frames and datagrams; `None` without any.
+/// Keys that authenticate frames and datagrams; `None` if the settings contain no key.
 #[must_use]
 pub fn keyring(keys: &[KeySettings]) -> Option<Keyring> {
     let keys = keys.iter().map(|key| Key {
@@ -32,8 +33,8 @@
     Keyring::new(keys.collect())
 }
 
-/// Logger to standard error. Records are written by the thread that makes them: a thread for
-/// logs would not fit one loop on one thread, and records at the level `info` are rare.
+/// Logger to standard error. Records are written synchronously by the calling thread, because a
+/// daemon runs a single event loop on one thread, and records at the level `info` are rare.
 pub fn logger(log: Log) -> Logger {
     let level = match log.level {
         LogLevel::Error => Level::Error,
