--- a/components/fakes/src/engine_cache.rs
+++ b/components/fakes/src/engine_cache.rs
@@ -1,133 +1,146 @@
-//! Prefix cache of the fake engine: limited memory handed out in pieces.
+//! Prefix cache of the fake engine: a limited number of pieces, evicted least recently used first.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// Order of eviction: least recently used first, and of one prompt the last piece first.
+/// Eviction order: least recently used first, and within a prompt the last piece first.
+///
+/// Holds the use number, the position of the piece in its prompt, and the prefix hash.
 type EvictionKey = (u64, Reverse<usize>, u64);
 
 #[derive(Debug)]
 struct Piece {
-    users: u32,
-    key: EvictionKey,
+    pins: u32,
+    eviction_key: EvictionKey,
 }
 
-/// Memory of one engine. Every request holds the pieces of its prompt and room for the rest.
+/// Cache memory of one engine. A running request pins the pieces of its prompt and reserves memory
+/// for the rest of the prompt and for the output.
 #[derive(Debug)]
 pub struct PieceCache {
-    limit: usize,
-    private: usize,
-    tick: u64,
+    capacity: usize,
+    reserved_pieces: usize,
+    last_use: u64,
     pieces: HashMap<u64, Piece>,
-    unused: BTreeSet<EvictionKey>,
+    unpinned: BTreeSet<EvictionKey>,
 }
 
-/// What a request holds.
+/// Cache memory of a running request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Held {
-    /// Leading pieces that were found in the cache.
-    pub matched: usize,
-    /// Pieces that no other request can see yet.
-    pub private: usize,
-    /// Leading pieces that are pinned.
-    pub pinned: usize,
+pub struct Allocation {
+    /// Leading pieces of the prompt that were cached when the request started.
+    pub matched_pieces: usize,
+    /// Pieces reserved for this request, which other requests cannot share.
+    pub reserved_pieces: usize,
+    /// Leading pieces of the prompt that this request keeps from eviction.
+    pub pinned_pieces: usize,
 }
 
 impl PieceCache {
-    /// Memory of `limit` pieces.
+    /// An empty cache with memory for `capacity` pieces.
     #[must_use]
-    pub fn new(limit: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            limit,
-            private: 0,
-            tick: 0,
+            capacity,
+            reserved_pieces: 0,
+            last_use: 0,
             pieces: HashMap::new(),
-            unused: BTreeSet::new(),
+            unpinned: BTreeSet::new(),
         }
     }
 
-    /// Pieces in memory.
+    /// Pieces stored or reserved.
     #[must_use]
     pub fn used(&self) -> usize {
-        self.pieces.len() + self.private
+        self.pieces.len() + self.reserved_pieces
     }
 
-    /// Share of the memory that requests in service hold.
+    /// Share of the memory that running requests pin or reserve, from 0 to 1.
     #[must_use]
     #[allow(clippy::cast_precision_loss)]
     pub fn pinned_share(&self) -> f64 {
-        (self.used() - self.unused.len()) as f64 / self.limit.max(1) as f64
+        (self.used() - self.unpinned.len()) as f64 / self.capacity.max(1) as f64
     }
 
-    /// Takes the memory for a request, or nothing if it does not fit beside those in service.
+    /// Allocates memory for a request; `None` if it does not fit beside the running requests.
     ///
-    /// `rest` is the number of pieces beyond the whole pieces of the prompt. Evicted pieces are
-    /// added to `evicted`.
-    pub fn admit(&mut self, prefixes: &[u64], rest: usize, evicted: &mut Vec<u64>) -> Option<Held> {
-        let matched = prefixes
+    /// `other_pieces` is the number of pieces beyond the whole pieces of the prompt. Evicted pieces
+    /// are added to `evicted`.
+    pub fn admit(
+        &mut self,
+        prefixes: &[u64],
+        other_pieces: usize,
+        evicted: &mut Vec<u64>,
+    ) -> Option<Allocation> {
+        let matched_pieces = prefixes
             .iter()
             .take_while(|prefix| self.pieces.contains_key(prefix))
             .count();
-        let private = prefixes.len() - matched + rest;
-        self.tick += 1;
-        self.pin(&prefixes[..matched]);
-        if self.used() - self.unused.len() + private > self.limit {
-            self.unpin(&prefixes[..matched]);
+        let reserved_pieces = prefixes.len() - matched_pieces + other_pieces;
+        self.last_use += 1;
+        self.pin(&prefixes[..matched_pieces]);
+        if self.used() - self.unpinned.len() + reserved_pieces > self.capacity {
+            self.unpin(&prefixes[..matched_pieces]);
             return None;
         }
-        while self.used() + private > self.limit {
-            let (_, _, oldest) = self.unused.pop_first()?;
+        while self.used() + reserved_pieces > self.capacity {
+            let (_, _, oldest) = self.unpinned.pop_first()?;
             self.pieces.remove(&oldest);
             evicted.push(oldest);
         }
-        self.private += private;
-        Some(Held {
-            matched,
-            private,
-            pinned: matched,
+        self.reserved_pieces += reserved_pieces;
+        Some(Allocation {
+            matched_pieces,
+            reserved_pieces,
+            pinned_pieces: matched_pieces,
         })
     }
 
-    /// Lets other requests see the pieces of a processed prompt; new ones are added to `stored`.
-    pub fn publish(&mut self, prefixes: &[u64], held: &mut Held, stored: &mut Vec<u64>) {
-        self.tick += 1;
-        for (depth, prefix) in prefixes.iter().enumerate().skip(held.pinned) {
-            self.private -= 1;
-            held.private -= 1;
+    /// Makes the pieces of a processed prompt shareable; newly stored ones are added to `stored`.
+    pub fn publish(
+        &mut self,
+        prefixes: &[u64],
+        allocation: &mut Allocation,
+        stored: &mut Vec<u64>,
+    ) {
+        self.last_use += 1;
+        for (position, prefix) in prefixes.iter().enumerate().skip(allocation.pinned_pieces) {
+            self.reserved_pieces -= 1;
+            allocation.reserved_pieces -= 1;
             if self.pieces.contains_key(prefix) {
-                self.pin(&prefixes[depth..=depth]);
+                self.pin(&prefixes[position..=position]);
                 continue;
             }
             let piece = Piece {
-                users: 1,
-                key: (self.tick, Reverse(depth), *prefix),
+                pins: 1,
+                eviction_key: (self.last_use, Reverse(position), *prefix),
             };
             self.pieces.insert(*prefix, piece);
             stored.push(*prefix);
         }
-        held.pinned = prefixes.len();
+        allocation.pinned_pieces = prefixes.len();
     }
 
-    /// Gives back what a request holds. Published pieces stay until they are evicted.
-    pub fn release(&mut self, prefixes: &[u64], held: &Held) {
-        self.private -= held.private;
-        self.unpin(&prefixes[..held.pinned]);
+    /// Frees the memory of a request. Published pieces stay until they are evicted.
+    pub fn release(&mut self, prefixes: &[u64], allocation: &Allocation) {
+        self.reserved_pieces -= allocation.reserved_pieces;
+        self.unpin(&prefixes[..allocation.pinned_pieces]);
     }
 
-    /// Forgets everything.
+    /// Removes all pieces and reservations.
     pub fn clear(&mut self) {
-        *self = Self::new(self.limit);
+        *self = Self::new(self.capacity);
     }
 
     fn pin(&mut self, prefixes: &[u64]) {
         for prefix in prefixes {
             if let Some(piece) = self.pieces.get_mut(prefix) {
-                if piece.users == 0 {
-                    self.unused.remove(&piece.key);
+                if piece.pins == 0 {
+                    self.unpinned.remove(&piece.eviction_key);
                 }
-                piece.users += 1;
-                piece.key.0 = self.tick;
+                piece.pins += 1;
+                piece.eviction_key.0 = self.last_use;
             }
         }
     }
@@ -135,9 +148,9 @@
     fn unpin(&mut self, prefixes: &[u64]) {
         for prefix in prefixes {
             if let Some(piece) = self.pieces.get_mut(prefix) {
-                piece.users -= 1;
-                if piece.users == 0 {
-                    self.unused.insert(piece.key);
+                piece.pins -= 1;
+                if piece.pins == 0 {
+                    self.unpinned.insert(piece.eviction_key);
                 }
             }
         }
--- a/components/fakes/src/engine_job.rs
+++ b/components/fakes/src/engine_job.rs
@@ -1,4 +1,4 @@
-//! Constants of the fake engine, its work, and what it tells of it.
+//! Settings of the fake engine, its jobs and their progress.
 
 use std::time::Duration;
 
@@ -6,87 +6,87 @@
 use types::AttemptId;
 use types::Usage;
 
-use crate::engine_cache::Held;
+use crate::engine_cache::Allocation;
 
-/// Constants of a fake engine.
+/// Settings of a fake engine.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Constants {
-    /// Rates in the roles prefill, mixed and decode.
+pub struct EngineSettings {
+    /// Speed and limits in the roles prefill, mixed and decode, in this order.
     pub rates: [RoleRates; 3],
-    /// Tokens of one cache piece.
+    /// Prompt tokens in one cache piece.
     pub piece_tokens: u32,
-    /// Memory, in pieces.
-    pub pieces: usize,
-    /// Time away in a role change.
-    pub change_ms: Duration,
-    /// Time away after a crash.
+    /// Cache memory, in pieces.
+    pub capacity_pieces: usize,
+    /// Time for which a role change makes the engine unavailable.
+    pub role_change_ms: Duration,
+    /// Time for which a crash makes the engine unavailable.
     pub restart_ms: Duration,
-    /// Interval at which load figures are taken.
-    pub figures_ms: Duration,
-    /// Delay of cache events.
-    pub cache_delay_ms: Duration,
-    /// Share of cache events that are lost.
-    pub cache_loss: f64,
+    /// Shortest interval between the load snapshots of a busy engine.
+    pub load_interval_ms: Duration,
+    /// Time from a change of the cache to the publication of its event.
+    pub cache_event_delay_ms: Duration,
+    /// Share of the cache events that are never published, from 0 to 1.
+    pub cache_event_loss_share: f64,
 }
 
-impl Default for Constants {
+impl Default for EngineSettings {
     fn default() -> Self {
         let routing = routing::Settings::new("");
         Self {
             rates: [routing.prefill, routing.mixed, routing.decode],
             piece_tokens: 2_000,
-            pieces: 240,
-            change_ms: Duration::from_secs(6),
+            capacity_pieces: 240,
+            role_change_ms: Duration::from_secs(6),
             restart_ms: Duration::from_secs(20),
-            figures_ms: Duration::from_millis(200),
-            cache_delay_ms: Duration::from_millis(300),
-            cache_loss: 0.03,
+            load_interval_ms: Duration::from_millis(200),
+            cache_event_delay_ms: Duration::from_millis(300),
+            cache_event_loss_share: 0.03,
         }
     }
 }
 
-/// Work for the engine.
+/// Request to the engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// Attempt that it serves.
+    /// Identifies the job.
     pub attempt: AttemptId,
-    /// Which reader of the reports sent it.
-    pub reader: usize,
-    /// 0 is served first.
+    /// Index of the entry that submitted it.
+    pub entry: usize,
+    /// 0 is the most urgent.
     pub priority: u8,
-    /// Prompt length.
+    /// Length of the prompt.
     pub prompt_tokens: u32,
-    /// Output length, which the engine does not know beforehand.
+    /// Length of the output. The load snapshot estimates it from the limit instead.
     pub output_tokens: u32,
-    /// Upper bound of the output.
+    /// Limit on the output that the caller set.
     pub max_output_tokens: u32,
-    /// Hash of the prompt's prefix after each whole piece.
+    /// Hash of the prompt up to the end of each whole piece.
     pub prefixes: Vec<u64>,
 }
 
-/// What the engine tells of a job.
+/// Progress of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// Its first token is there.
+    /// The first output token was produced.
     FirstToken(AttemptId),
-    /// It is complete.
-    Ended(AttemptId, Usage),
-    /// It was lost.
+    /// The whole output was produced.
+    Completed(AttemptId, Usage),
+    /// The engine crashed before the job completed.
     Failed(AttemptId),
 }
 
-impl Constants {
-    /// Prompt tokens that need no processing; the last token always does.
-    pub(crate) fn cached(&self, job: &Job, held: &Held) -> u32 {
-        let matched = u32::try_from(held.matched).unwrap_or(u32::MAX);
-        let tokens = matched.saturating_mul(self.piece_tokens);
+impl EngineSettings {
+    /// Prompt tokens taken from the cache. The last token of a prompt is always processed.
+    pub(crate) fn cached_tokens(&self, job: &Job, allocation: &Allocation) -> u32 {
+        let matched_pieces = u32::try_from(allocation.matched_pieces).unwrap_or(u32::MAX);
+        let tokens = matched_pieces.saturating_mul(self.piece_tokens);
         tokens.min(job.prompt_tokens.saturating_sub(1))
     }
 
-    pub(crate) fn usage(&self, job: &Job, held: &Held) -> Usage {
+    pub(crate) fn usage(&self, job: &Job, allocation: &Allocation) -> Usage {
         Usage {
             prompt_tokens: job.prompt_tokens,
-            cached_tokens: self.cached(job, held),
+            cached_tokens: self.cached_tokens(job, allocation),
             output_tokens: job.output_tokens,
         }
     }
--- a/components/fakes/src/engine_report.rs
+++ b/components/fakes/src/engine_report.rs
@@ -1,4 +1,4 @@
-//! What the fake engine publishes: load late, cache events late and with gaps.
+//! Load snapshots and cache events of the fake engine. Cache events are delayed, and some are lost.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,50 +8,50 @@
 use smallvec::SmallVec;
 use types::CacheEvent;
 
-/// Load figures of the engine at one moment.
+/// Load of the engine at one moment.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Figures {
-    /// When they were taken, since the start of the run.
-    pub taken: Duration,
-    /// Requests in service.
+pub struct LoadSnapshot {
+    /// Time since the start of the run.
+    pub taken_at: Duration,
+    /// Jobs that hold a slot.
     pub running: u32,
-    /// Requests accepted but not started.
+    /// Jobs that wait for a slot or for cache memory.
     pub queued: u32,
-    /// Prompt tokens still to be processed.
+    /// Prompt tokens still to be processed, of running and queued jobs.
     pub prefill_tokens: u64,
-    /// Output tokens still expected.
+    /// Output tokens still expected, estimated as half of the remaining output limits.
     pub decode_tokens: u64,
-    /// Share of the memory in use, in thousandths.
-    pub used_permille: u16,
-    /// Requests received from each reader of the reports.
+    /// Share of the cache memory that running jobs hold, in thousandths.
+    pub cache_used_permille: u16,
+    /// Jobs submitted by each entry, refused ones included.
     pub received: SmallVec<[u64; 4]>,
 }
 
-/// Queue of cache events that are not published yet.
+/// Cache events that are not published yet.
 #[derive(Debug)]
-pub struct CacheFeed {
-    delay: Duration,
-    loss: f64,
+pub struct CacheEventQueue {
+    delay_ms: Duration,
+    loss_share: f64,
     sequence: u64,
     events: VecDeque<(Duration, CacheEvent)>,
 }
 
-impl CacheFeed {
-    /// Events come `delay` late, and a share `loss` of them never comes.
+impl CacheEventQueue {
+    /// An empty queue that publishes events after `delay_ms` and loses `loss_share` of them.
     #[must_use]
-    pub fn new(delay: Duration, loss: f64) -> Self {
+    pub fn new(delay_ms: Duration, loss_share: f64) -> Self {
         Self {
-            delay,
-            loss,
+            delay_ms,
+            loss_share,
             sequence: 0,
             events: VecDeque::new(),
         }
     }
 
-    /// Adds an event.
-    pub fn add(&mut self, now: Duration, prefix: u64, stored: bool, rng: &mut SmallRng) {
+    /// Adds an event. A lost event uses up its sequence number, so readers see a gap.
+    pub fn push(&mut self, now: Duration, prefix: u64, stored: bool, rng: &mut SmallRng) {
         self.sequence += 1;
-        if rng.random_bool(self.loss) {
+        if rng.random_bool(self.loss_share) {
             return;
         }
         let event = CacheEvent {
@@ -59,11 +59,11 @@
             prefix,
             stored,
         };
-        self.events.push_back((now + self.delay, event));
+        self.events.push_back((now + self.delay_ms, event));
     }
 
-    /// Events that are due.
-    pub fn take(&mut self, now: Duration) -> Vec<CacheEvent> {
+    /// Removes and returns the events that are due at `now`.
+    pub fn take_due(&mut self, now: Duration) -> Vec<CacheEvent> {
         let due = self.events.partition_point(|(at, _)| *at <= now);
         self.events.drain(..due).map(|(_, event)| event).collect()
     }
--- a/components/fakes/src/hosts.rs
+++ b/components/fakes/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Host list that lags, and that can be wrong in both directions.
+//! Fake host list that shows changes late, omits running hosts or lists them as leaving.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,17 +10,17 @@
 use store::HostState;
 use types::HostName;
 
-/// The host list.
+/// Fake host list.
 #[derive(Debug, Default)]
 pub struct FakeHosts {
     lag_ms: Duration,
     history: VecDeque<(Instant, BTreeMap<HostName, HostState>)>,
     missing: BTreeSet<HostName>,
-    named_leaving: BTreeSet<HostName>,
+    shown_leaving: BTreeSet<HostName>,
 }
 
 impl FakeHosts {
-    /// An empty list that shows changes after `lag_ms`.
+    /// An empty list. A change shows `lag_ms` after it was made.
     #[must_use]
     pub fn new(lag_ms: Duration) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Sets the state of a host; `None` removes it.
+    /// Sets the state of a host; `None` removes the host.
     pub fn set(&mut self, now: Instant, host: &str, state: Option<HostState>) {
         let mut hosts = self
             .history
@@ -42,7 +42,7 @@
         self.history.push_back((now, hosts));
     }
 
-    /// Leaves a host out although it lives.
+    /// Sets whether the list omits a host, whatever its state.
     pub fn set_missing(&mut self, host: &str, missing: bool) {
         if missing {
             self.missing.insert(host.to_owned());
@@ -51,22 +51,22 @@
         }
     }
 
-    /// Calls a host leaving although it stays.
+    /// Sets whether the list shows a host as leaving, whatever its state.
     pub fn set_named_leaving(&mut self, host: &str, leaving: bool) {
         if leaving {
-            self.named_leaving.insert(host.to_owned());
+            self.shown_leaving.insert(host.to_owned());
         } else {
-            self.named_leaving.remove(host);
+            self.shown_leaving.remove(host);
         }
     }
 
-    /// The list as it is shown now.
+    /// The list that a reader gets at `now`.
     pub fn list(&mut self, now: Instant) -> Vec<HostEntry> {
-        let shown = |at: Instant| at + self.lag_ms <= now;
-        while self.history.get(1).is_some_and(|(at, _)| shown(*at)) {
+        let is_shown = |at: Instant| at + self.lag_ms <= now;
+        while self.history.get(1).is_some_and(|(at, _)| is_shown(*at)) {
             self.history.pop_front();
         }
-        let Some((_, hosts)) = self.history.front().filter(|(at, _)| shown(*at)) else {
+        let Some((_, hosts)) = self.history.front().filter(|(at, _)| is_shown(*at)) else {
             return Vec::new();
         };
         hosts
@@ -74,7 +74,7 @@
             .filter(|(host, _)| !self.missing.contains(*host))
             .map(|(host, state)| HostEntry {
                 host: host.clone(),
-                state: if self.named_leaving.contains(host) {
+                state: if self.shown_leaving.contains(host) {
                     HostState::Leaving
                 } else {
                     *state
--- a/components/fakes/src/lib.rs
+++ b/components/fakes/src/lib.rs
@@ -1,4 +1,6 @@
-//! Fakes in virtual time for randomised runs and policy measurement. Never shipped.
+//! In-memory fakes of the table, the object store, the host list and targets, in virtual time.
+//!
+//! The examples `soak` and `policy` run on them. They are no part of a release.
 
 pub mod engine;
 pub mod engine_cache;
--- a/components/fakes/src/table.rs
+++ b/components/fakes/src/table.rs
@@ -1,4 +1,5 @@
-//! Table in virtual time, with outages, slow and lost replies, and writes that take effect late.
+//! Fake table in virtual time, with outages, lost calls, slow and lost replies, and calls that take
+//! effect late.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -22,46 +23,46 @@
 use store::Transaction;
 use types::Clock;
 
-/// Time after which a call without an answer is given up.
+/// Time after which a call without a reply fails.
 const CALL_TIMEOUT_MS: Duration = Duration::from_millis(500);
-/// One way to the table.
+/// Latency in one direction between a process and the table.
 const ONE_WAY_MS: Duration = Duration::from_millis(1);
-/// Writes that take effect late do so within this time.
+/// Longest delay of a call that takes effect late.
 const LATE_LIMIT_MS: u64 = 8_000;
 const PERMILLE: u32 = 1_000;
 
-/// Faults of the table, for all processes.
+/// Faults of the table, which affect the calls of all processes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TableFaults {
-    /// Every call is refused.
+    /// Every call fails without taking effect.
     pub outage: bool,
-    /// Calls in thousand that never arrive, without the caller knowing.
+    /// Share of calls that are lost and time out, in thousandths.
     pub lost_permille: u32,
-    /// Replies in thousand that are lost.
+    /// Share of calls that take effect but whose reply is lost, in thousandths.
     pub lost_reply_permille: u32,
-    /// Calls in thousand that take effect late, without a reply.
+    /// Share of calls that take effect late and get no reply, in thousandths.
     pub late_permille: u32,
-    /// Added to every call.
+    /// Latency added to every call.
     pub slow_ms: Duration,
 }
 
-/// Called for every committed transaction, with the rows as they are after it.
+/// Observer of commits. Gets the time, the rows after the commit and the transaction.
 pub type OnCommit = Box<dyn Fn(Instant, &Rows, &Transaction)>;
 
-/// The table.
+/// Fake table.
 pub struct FakeTable {
     clock: Rc<dyn Clock>,
     timer: Rc<dyn Timer>,
     rows: RefCell<Rows>,
     faults: Cell<TableFaults>,
-    random: RefCell<StdRng>,
-    late: RefCell<BTreeMap<(Instant, u64), TableRequest>>,
+    rng: RefCell<StdRng>,
+    delayed: RefCell<BTreeMap<(Instant, u64), TableRequest>>,
     on_commit: RefCell<Option<OnCommit>>,
     calls: Cell<u64>,
 }
 
 impl FakeTable {
-    /// An empty table without faults.
+    /// An empty table without faults; `seed` decides which calls a fault affects.
     #[must_use]
     pub fn new(clock: Rc<dyn Clock>, timer: Rc<dyn Timer>, seed: u64) -> Rc<Self> {
         Rc::new(Self {
@@ -69,42 +70,42 @@
             timer,
             rows: RefCell::default(),
             faults: Cell::default(),
-            random: RefCell::new(StdRng::seed_from_u64(seed)),
-            late: RefCell::default(),
+            rng: RefCell::new(StdRng::seed_from_u64(seed)),
+            delayed: RefCell::default(),
             on_commit: RefCell::default(),
             calls: Cell::new(0),
         })
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the faults; calls that take effect late still do so.
     pub fn set_faults(&self, faults: TableFaults) {
         self.faults.set(faults);
     }
 
-    /// What goes wrong now.
+    /// Current faults.
     #[must_use]
     pub fn faults(&self) -> TableFaults {
         self.faults.get()
     }
 
-    /// Sets what is called for every committed transaction.
+    /// Sets the observer of committed transactions, which replaces the one before.
     pub fn observe(&self, on_commit: OnCommit) {
         *self.on_commit.borrow_mut() = Some(on_commit);
     }
 
-    /// Reads a row without any fault.
+    /// Reads a row directly, without faults or delay.
     #[must_use]
     pub fn row(&self, key: &str) -> Option<Row> {
         self.rows.borrow().get(key)
     }
 
-    /// Makes a read or a scan without any fault.
+    /// Reads or scans rows directly, without faults or delay.
     #[must_use]
     pub fn read(&self, request: &TableRequest) -> TableReply {
         self.rows.borrow_mut().apply(request)
     }
 
-    /// Counts the rows whose key starts with `prefix`, without any fault.
+    /// Counts the rows whose key starts with `prefix`, without faults or delay.
     #[must_use]
     pub fn count(&self, prefix: &str) -> usize {
         let scan = TableRequest::Scan {
@@ -118,15 +119,15 @@
         }
     }
 
-    /// Applies the writes whose late effect is due.
+    /// Applies the delayed calls that are due.
     pub fn run_late(&self) {
         let now = self.clock.now();
         loop {
-            let due = self.late.borrow().first_key_value().map(|(key, _)| *key);
+            let due = self.delayed.borrow().first_key_value().map(|(key, _)| *key);
             let Some(key) = due.filter(|(at, _)| *at <= now) else {
                 return;
             };
-            let request = self.late.borrow_mut().remove(&key);
+            let request = self.delayed.borrow_mut().remove(&key);
             if let Some(request) = request {
                 self.apply(&request);
             }
@@ -144,11 +145,11 @@
         reply
     }
 
-    fn roll(&self, permille: u32) -> bool {
-        permille > 0 && self.random.borrow_mut().random_range(0..PERMILLE) < permille
+    fn occurs(&self, permille: u32) -> bool {
+        permille > 0 && self.rng.borrow_mut().random_range(0..PERMILLE) < permille
     }
 
-    async fn answer(&self, request: TableRequest) -> Result<TableReply, StoreError> {
+    async fn handle(&self, request: TableRequest) -> Result<TableReply, StoreError> {
         self.timer
             .sleep(ONE_WAY_MS + self.faults.get().slow_ms)
             .await;
@@ -156,54 +157,57 @@
         if faults.outage {
             return Err(StoreError::Unavailable("outage".to_owned()));
         }
-        if self.roll(faults.lost_permille) {
-            return self.no_answer().await;
+        if self.occurs(faults.lost_permille) {
+            return self.time_out().await;
         }
-        if self.roll(faults.late_permille) {
-            let delay = self.random.borrow_mut().random_range(0..LATE_LIMIT_MS);
+        if self.occurs(faults.late_permille) {
+            let delay = self.rng.borrow_mut().random_range(0..LATE_LIMIT_MS);
             let at = self.clock.now() + Duration::from_millis(delay);
             self.calls.set(self.calls.get() + 1);
             let key = (at, self.calls.get());
-            self.late.borrow_mut().insert(key, request);
-            return self.no_answer().await;
+            self.delayed.borrow_mut().insert(key, request);
+            return self.time_out().await;
         }
         let reply = self.apply(&request);
-        if self.roll(faults.lost_reply_permille) {
-            return self.no_answer().await;
+        if self.occurs(faults.lost_reply_permille) {
+            return self.time_out().await;
         }
         self.timer.sleep(ONE_WAY_MS).await;
         Ok(reply)
     }
 
-    async fn no_answer(&self) -> Result<TableReply, StoreError> {
+    async fn time_out(&self) -> Result<TableReply, StoreError> {
         self.timer.sleep(CALL_TIMEOUT_MS).await;
-        Err(StoreError::Unanswered("no answer in time".to_owned()))
+        Err(StoreError::Unanswered("no reply within 500 ms".to_owned()))
     }
 }
 
-/// The table as one process reaches it.
+/// Connection of one process to the fake table.
 pub struct TablePort {
     table: Rc<FakeTable>,
-    cut: Rc<Cell<bool>>,
+    disconnected: Rc<Cell<bool>>,
 }
 
 impl TablePort {
-    /// `cut` separates the process from the table while it is set.
+    /// While `disconnected` is set, the process cannot reach the table.
     #[must_use]
-    pub fn new(table: Rc<FakeTable>, cut: Rc<Cell<bool>>) -> Self {
-        Self { table, cut }
+    pub fn new(table: Rc<FakeTable>, disconnected: Rc<Cell<bool>>) -> Self {
+        Self {
+            table,
+            disconnected,
+        }
     }
 }
 
 impl Table for TablePort {
     fn call(&self, request: TableRequest) -> StoreFuture<'_, TableReply> {
         Box::pin(async move {
-            if self.cut.get() {
+            if self.disconnected.get() {
                 self.table.timer.sleep(CALL_TIMEOUT_MS).await;
                 return Err(StoreError::Unavailable("no connection".to_owned()));
             }
-            let result = self.table.answer(request).await;
-            if self.cut.get() {
+            let result = self.table.handle(request).await;
+            if self.disconnected.get() {
                 return Err(StoreError::Unanswered("connection lost".to_owned()));
             }
             result
--- a/components/fakes/src/target.rs
+++ b/components/fakes/src/target.rs
@@ -1,7 +1,7 @@
-//! Engine or plain service in virtual time that counts what it ran and which orders it obeyed.
+//! Fake engine or plain service in virtual time, which records its runs and executed orders.
 //!
-//! Its part of the path to a caller is honest: what it wrote into the ledger is what it did.
-//! The promises of the system are checked against the ledger.
+//! The ledger records what the targets really did. The randomised runs check the guarantees of the
+//! system against it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -30,38 +30,38 @@
 
 use crate::target_cache::TargetCache;
 
-/// Largest part of an answer that is delivered at once.
+/// Size limit of the parts in which an answer is delivered.
 const PART_BYTES: usize = 600;
-/// Largest part of a large answer that is delivered at once.
+/// Size limit of the parts of an answer that is longer than this.
 const LARGE_PART_BYTES: usize = 16 << 10;
-/// Start of the bodies whose answers do not fit into a claim row.
+/// Prefix of the request bodies whose answers are too large for a claim row.
 pub const LARGE_ORDER: &[u8] = b"Order large";
-/// Prompts above this take part of a second.
-const LONG_TOKENS: u32 = 1_000;
-/// Prompts above this take seconds.
-const VERY_LONG_TOKENS: u32 = 8_000;
-/// A role change makes the engine away for this long.
-const CHANGE_MS: Duration = Duration::from_millis(2_500);
+/// Longer prompts take 150 to 600 ms to the first byte, shorter ones 10 to 60 ms.
+const LONG_PROMPT_TOKENS: u32 = 1_000;
+/// Longer prompts take 3 to 7.5 s to the first byte.
+const VERY_LONG_PROMPT_TOKENS: u32 = 8_000;
+/// Time for which the execution of an order makes the target unavailable.
+const ORDER_EXECUTION_MS: Duration = Duration::from_millis(2_500);
 /// Prompt tokens of one cache piece.
 pub const PIECE_TOKENS: u32 = 2_000;
 
-/// What all targets did.
+/// Record of what all targets did.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Runs of each body, by their number.
+    /// Numbers of the runs of each request body.
     pub runs: HashMap<Vec<u8>, Vec<u64>>,
-    /// Requests of which an attempt was run.
+    /// Number of runs of each request, over all its attempts.
     pub ran: HashMap<RequestId, u32>,
-    next: u64,
-    /// Faults of the orders received, for the report of a violation.
+    last_run: u64,
+    /// Descriptions of orders that broke an invariant.
     pub violations: Vec<String>,
-    /// Orders obeyed.
+    /// Executed orders, with the time and the agent that sent them.
     pub obeyed: Vec<(Instant, Incarnation, Order)>,
-    /// Orders refused for their fencing number.
+    /// Number of orders refused as older than the last one.
     pub fenced: u64,
 }
 
-/// Answer that run `run` gives to a body; the same for every run unless `sampled`.
+/// Answer of run `run` to a request body; the same for every run unless `sampled`.
 #[must_use]
 pub fn answer_to(body: &[u8], run: u64, sampled: bool) -> Vec<u8> {
     let mut answer = b"answer to ".to_vec();
@@ -72,20 +72,20 @@
     let sum = body
         .iter()
         .fold(7_usize, |sum, byte| sum * 31 % 65_521 + usize::from(*byte));
-    let filler = match body.starts_with(LARGE_ORDER) {
+    let length = match body.starts_with(LARGE_ORDER) {
         false => answer.len() + sum % 4_000,
-        // One in 29 is above what is kept for resends.
+        // One in 29 is larger than the 1 MiB that is kept for repeated requests.
         true if sum.is_multiple_of(29) => (1 << 20) + 1,
         true => (64 << 10) - 2_000 + 2 * sum,
     };
     let unit = answer.clone();
-    while answer.len() < filler {
+    while answer.len() < length {
         answer.extend_from_slice(&unit);
     }
     answer
 }
 
-/// End of an engine's answer, which states what it used.
+/// Usage object at the end of an engine's answer.
 #[must_use]
 pub fn usage_of(work: &Work, cached_pieces: u32) -> String {
     let cached = cached_pieces
@@ -101,34 +101,34 @@
 struct Run {
     answer: Vec<u8>,
     position: usize,
-    pace_ms: u64,
+    part_interval_ms: u64,
 }
 
-/// One target.
+/// Fake target.
 pub struct FakeTarget {
-    /// Engine or plain service.
+    /// Engines report usage and have a prefix cache; plain services do not.
     pub kind: ServiceKind,
-    /// Refuses orders with an old fencing number.
+    /// Refuses orders that are older than the last executed one.
     pub honours_fencing: bool,
-    /// Prefix cache, with its events.
+    /// Prefix cache; unused by a plain service.
     pub cache: TargetCache,
     ledger: Rc<RefCell<Ledger>>,
-    random: StdRng,
+    rng: StdRng,
     base: EngineState,
     state: EngineState,
     away_until: Option<Instant>,
-    down: bool,
-    /// It restarted since its last order, so it may serve what nobody ordered last.
-    restarted: bool,
-    /// Last order that the engine remembers.
-    highest: Option<Order>,
-    /// Last order obeyed, also across restarts of the engine.
-    obeyed: Option<Order>,
+    is_down: bool,
+    /// No order was executed since the last start, so the state may differ from the last order.
+    is_restarted: bool,
+    /// Last executed order, forgotten in a restart.
+    last_order: Option<Order>,
+    /// Last executed order, kept across restarts for the invariant checks.
+    last_executed: Option<Order>,
     runs: BTreeMap<(Incarnation, RunId), Run>,
 }
 
 impl FakeTarget {
-    /// A target that serves `base`.
+    /// A running target; `base` is its state after every start.
     #[must_use]
     pub fn new(
         kind: ServiceKind,
@@ -142,43 +142,43 @@
             honours_fencing,
             cache: TargetCache::new(seed ^ 1),
             ledger,
-            random: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             state: base.clone(),
             base,
             away_until: None,
-            down: false,
-            restarted: true,
-            highest: None,
-            obeyed: None,
+            is_down: false,
+            is_restarted: true,
+            last_order: None,
+            last_executed: None,
             runs: BTreeMap::new(),
         }
     }
 
-    /// Runs in progress.
+    /// Number of runs in progress.
     #[must_use]
     pub fn running(&self) -> usize {
         self.runs.len()
     }
 
-    /// In the middle of a change.
+    /// Whether it is executing an order.
     #[must_use]
     pub fn is_changing(&self, now: Instant) -> bool {
         self.away_until.is_some_and(|until| now < until)
     }
 
-    /// Takes work at this moment.
+    /// Whether it accepts runs at `now`.
     #[must_use]
     pub fn is_serving(&self, now: Instant) -> bool {
-        !self.down && !self.is_changing(now)
+        !self.is_down && !self.is_changing(now)
     }
 
-    /// It restarted, or was replaced, and has obeyed no order since.
+    /// Whether it has executed no order since its last start.
     #[must_use]
     pub fn is_restarted(&self) -> bool {
-        self.restarted
+        self.is_restarted
     }
 
-    /// Whether it has what an attempt needs; empty fields ask for nothing.
+    /// Whether what an attempt needs is loaded. Empty fields match any model or version.
     #[must_use]
     pub fn holds(&self, needs: &Loaded) -> bool {
         let loaded = &self.state.loaded;
@@ -187,7 +187,7 @@
             && needs.adapters.iter().all(|a| loaded.adapters.contains(a))
     }
 
-    /// Starts a run; returns its first event and when the agent gets it.
+    /// Starts a run; returns the delay of its first event for the agent, and the event.
     pub fn start(
         &mut self,
         now: Instant,
@@ -203,17 +203,17 @@
             };
             return (Duration::from_millis(1), Event::Target { run, event });
         }
-        let number = self.note_run(attempt, &work.body);
-        let sampled = work.body.last().is_some_and(|byte| byte % 2 == 0);
-        let long = work.prompt_tokens > LONG_TOKENS;
-        let first_ms = if work.prompt_tokens > VERY_LONG_TOKENS {
-            self.random.random_range(3_000..7_500)
-        } else if long {
-            self.random.random_range(150..600)
+        let number = self.record_run(attempt, &work.body);
+        let is_sampled = work.body.last().is_some_and(|byte| byte % 2 == 0);
+        let is_long = work.prompt_tokens > LONG_PROMPT_TOKENS;
+        let first_ms = if work.prompt_tokens > VERY_LONG_PROMPT_TOKENS {
+            self.rng.random_range(3_000..7_500)
+        } else if is_long {
+            self.rng.random_range(150..600)
         } else {
-            self.random.random_range(10..60)
+            self.rng.random_range(10..60)
         };
-        let mut answer = answer_to(&work.body, number, sampled);
+        let mut answer = answer_to(&work.body, number, is_sampled);
         if self.kind == ServiceKind::Model {
             let cached = self.cache.process(now, &work.prefixes);
             answer.extend_from_slice(usage_of(work, cached).as_bytes());
@@ -223,7 +223,7 @@
             Run {
                 answer,
                 position: 0,
-                pace_ms: if long { 40 } else { 8 },
+                part_interval_ms: if is_long { 40 } else { 8 },
             },
         );
         let event = TargetEvent::Head {
@@ -237,20 +237,20 @@
         )
     }
 
-    fn note_run(&mut self, attempt: AttemptId, body: &[u8]) -> u64 {
+    fn record_run(&mut self, attempt: AttemptId, body: &[u8]) -> u64 {
         let mut ledger = self.ledger.borrow_mut();
-        ledger.next += 1;
-        let number = ledger.next;
+        ledger.last_run += 1;
+        let number = ledger.last_run;
         ledger.runs.entry(body.to_vec()).or_default().push(number);
         *ledger.ran.entry(attempt.request).or_default() += 1;
         number
     }
 
-    /// Delivers the next part of a run, or its end.
+    /// Next part or end of the answer of a run, with its delay; `None` if the run is unknown.
     pub fn read(&mut self, agent: Incarnation, run: RunId) -> Option<(Duration, Event)> {
         let current = self.runs.get_mut(&(agent, run))?;
         let rest = &current.answer[current.position..];
-        let delay = Duration::from_millis(current.pace_ms);
+        let delay = Duration::from_millis(current.part_interval_ms);
         let event = if rest.is_empty() {
             self.runs.remove(&(agent, run));
             TargetEvent::End
@@ -268,19 +268,19 @@
         Some((delay, Event::Target { run, event }))
     }
 
-    /// The agent gave a run up.
+    /// Ends a run that the agent cancelled.
     pub fn abort(&mut self, agent: Incarnation, run: RunId) {
         self.runs.remove(&(agent, run));
     }
 
-    /// The connections of an agent are closed because it was killed.
+    /// Ends all runs of an agent that was killed.
     pub fn agent_gone(&mut self, agent: Incarnation) {
         self.runs.retain(|(of, _), _| *of != agent);
     }
 
-    /// Crashes; returns what the agents are told.
+    /// Crashes; returns the failures of the runs in progress, by agent.
     pub fn crash(&mut self) -> Vec<(Incarnation, Event)> {
-        self.down = true;
+        self.is_down = true;
         self.away_until = None;
         self.cache.clear();
         let runs = std::mem::take(&mut self.runs);
@@ -295,12 +295,12 @@
             .collect()
     }
 
-    /// Starts again with what it is configured to load.
+    /// Starts again with the state that it is configured with.
     pub fn restart(&mut self) {
-        self.down = false;
-        self.restarted = true;
+        self.is_down = false;
+        self.is_restarted = true;
         self.state = self.base.clone();
-        self.highest = None;
+        self.last_order = None;
     }
 
     /// State as the engine reports it.
@@ -309,7 +309,7 @@
     ///
     /// The engine is down.
     pub fn report(&mut self, now: Instant) -> Result<EngineState, String> {
-        if self.down {
+        if self.is_down {
             return Err("connection refused".to_owned());
         }
         Ok(EngineState {
@@ -318,11 +318,11 @@
         })
     }
 
-    /// Load as the engine reports it.
+    /// Load as the engine reports it; `None` while it is down.
     #[must_use]
     pub fn load(&self) -> Option<EngineLoad> {
         let running = self.runs.len() as u64;
-        (!self.down).then_some(EngineLoad {
+        (!self.is_down).then_some(EngineLoad {
             age_ms: 500,
             prefill_backlog_tokens: running * 200,
             decode_backlog_tokens: running * 50,
@@ -330,47 +330,47 @@
         })
     }
 
-    /// Takes an order.
+    /// Executes or refuses an order from an agent.
     pub fn pass(&mut self, now: Instant, agent: Incarnation, order: &Order) -> OrderOutcome {
-        if self.down {
+        if self.is_down {
             return OrderOutcome::NotSent("connection refused".to_owned());
         }
         if self.is_changing(now) {
-            return OrderOutcome::Refused("busy with a change".to_owned());
+            return OrderOutcome::Refused("executing another order".to_owned());
         }
-        let is_old = self
-            .highest
+        let is_older = self
+            .last_order
             .as_ref()
-            .is_some_and(|known| (order.fencing, order.number) < (known.fencing, known.number));
-        if is_old && self.honours_fencing {
+            .is_some_and(|last| (order.fencing, order.number) < (last.fencing, last.number));
+        if is_older && self.honours_fencing {
             self.ledger.borrow_mut().fenced += 1;
             return OrderOutcome::Fenced("older than the last order".to_owned());
         }
-        self.check(agent, order);
+        self.check_invariants(agent, order);
         self.ledger
             .borrow_mut()
             .obeyed
             .push((now, agent, order.clone()));
-        self.highest = Some(order.clone());
-        self.obeyed = Some(order.clone());
-        self.obey(now, order);
+        self.last_order = Some(order.clone());
+        self.last_executed = Some(order.clone());
+        self.execute(now, order);
         OrderOutcome::Taken
     }
 
-    /// Checks an order that is about to be obeyed against the promises made to engines.
-    fn check(&self, agent: Incarnation, order: &Order) {
+    /// Checks the invariants for an order that is about to be executed.
+    fn check_invariants(&self, agent: Incarnation, order: &Order) {
         let mut violations = Vec::new();
-        if let Some(known) = &self.obeyed
-            && (order.number < known.number || order.fencing < known.fencing)
+        if let Some(last) = &self.last_executed
+            && (order.number < last.number || order.fencing < last.fencing)
         {
             violations.push(format!(
-                "invariant 1: {} obeys order {} (fencing {}) after order {} (fencing {})",
-                order.target, order.number, order.fencing, known.number, known.fencing
+                "invariant 1: {} executes order {} (fencing {}) after order {} (fencing {})",
+                order.target, order.number, order.fencing, last.number, last.fencing
             ));
         }
         if !self.runs.is_empty() {
             violations.push(format!(
-                "invariant 2: {} is ordered to change with {} runs in service (agent {agent:x})",
+                "invariant 2: {} gets an order while it has {} runs in progress (agent {agent:x})",
                 order.target,
                 self.runs.len()
             ));
@@ -378,7 +378,7 @@
         self.ledger.borrow_mut().violations.extend(violations);
     }
 
-    fn obey(&mut self, now: Instant, order: &Order) {
+    fn execute(&mut self, now: Instant, order: &Order) {
         let loaded = &mut self.state.loaded;
         match &order.kind {
             OrderKind::LoadModel { model, version } => {
@@ -396,7 +396,7 @@
             OrderKind::Drain | OrderKind::Replace | OrderKind::Withdraw | OrderKind::Resume => {}
         }
         self.state.number = order.number;
-        self.restarted = false;
-        self.away_until = Some(now + CHANGE_MS);
+        self.is_restarted = false;
+        self.away_until = Some(now + ORDER_EXECUTION_MS);
     }
 }
--- a/components/fakes/src/target_cache.rs
+++ b/components/fakes/src/target_cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache of a fake target, whose events come late, with gaps and with contradictions.
+//! Prefix cache of a fake target. Its events can be delayed, lost or contradicted.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use rand::rngs::StdRng;
 use types::CacheEvent;
 
-/// Pieces that fit into the memory of one engine.
+/// Capacity of the cache of one engine, in pieces.
 const PIECES_LIMIT: usize = 48;
-/// Events that an engine keeps for its readers; older ones are a gap.
+/// Events that an engine keeps for its readers; a reader that is further behind sees a gap.
 const EVENTS_LIMIT: usize = 256;
 
-/// What goes wrong between the cache and the reader of its events.
+/// Faults in the publication of cache events.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CacheFaults {
-    /// Age of an event before it can be read.
+    /// Time from a change of the cache until its event can be read.
     pub lag_ms: Duration,
-    /// Events in thousand that are never published.
+    /// Share of events that are never published, in thousandths.
     pub lost_permille: u32,
-    /// Events in thousand that are followed by one that says the opposite.
+    /// Share of events that are followed by an event that states the opposite, in thousandths.
     pub contradicted_permille: u32,
 }
 
@@ -34,11 +34,11 @@
     pieces: VecDeque<u64>,
     events: VecDeque<(Instant, CacheEvent)>,
     sequence: u64,
-    random: StdRng,
+    rng: StdRng,
 }
 
 impl TargetCache {
-    /// An empty cache.
+    /// An empty cache without faults; `seed` decides which events a fault affects.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -46,15 +46,15 @@
             pieces: VecDeque::new(),
             events: VecDeque::new(),
             sequence: 0,
-            random: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Processes a prompt; returns the number of leading pieces that were there before.
+    /// Stores the pieces of a prompt; returns how many leading pieces were cached before.
     pub fn process(&mut self, now: Instant, prefixes: &[u64]) -> u32 {
-        let held = |prefix: &&u64| self.pieces.contains(prefix);
-        let matched = prefixes.iter().take_while(held).count();
-        // The end of a prompt is evicted before its start.
+        let is_cached = |prefix: &&u64| self.pieces.contains(prefix);
+        let matched = prefixes.iter().take_while(is_cached).count();
+        // Stored in reverse, so that the end of a prompt is evicted before its start.
         for prefix in prefixes.iter().rev() {
             if let Some(at) = self.pieces.iter().position(|piece| piece == prefix) {
                 self.pieces.remove(at);
@@ -71,7 +71,7 @@
         u32::try_from(matched).unwrap_or(u32::MAX)
     }
 
-    /// Events after a sequence number that can be read by now.
+    /// Published events with a sequence number greater than `after`.
     #[must_use]
     pub fn read(&self, now: Instant, after: u64) -> Vec<CacheEvent> {
         self.events
@@ -87,7 +87,7 @@
         u16::try_from(self.pieces.len() * 1_000 / PIECES_LIMIT).unwrap_or(1_000)
     }
 
-    /// The engine has crashed; another run numbers its events from 1 again.
+    /// Empties the cache after a crash. Event sequence numbers start from 1 again.
     pub fn clear(&mut self) {
         self.pieces.clear();
         self.events.clear();
@@ -95,16 +95,16 @@
     }
 
     fn publish(&mut self, now: Instant, prefix: u64, stored: bool) {
-        let contradicted = self.chance(self.faults.contradicted_permille);
-        self.push(now, prefix, stored);
+        let contradicted = self.occurs(self.faults.contradicted_permille);
+        self.publish_one(now, prefix, stored);
         if contradicted {
-            self.push(now, prefix, !stored);
+            self.publish_one(now, prefix, !stored);
         }
     }
 
-    fn push(&mut self, now: Instant, prefix: u64, stored: bool) {
+    fn publish_one(&mut self, now: Instant, prefix: u64, stored: bool) {
         self.sequence += 1;
-        if self.chance(self.faults.lost_permille) {
+        if self.occurs(self.faults.lost_permille) {
             return;
         }
         let event = CacheEvent {
@@ -118,7 +118,7 @@
         }
     }
 
-    fn chance(&mut self, permille: u32) -> bool {
-        permille > 0 && self.random.random_range(0..1_000) < permille
+    fn occurs(&mut self, permille: u32) -> bool {
+        permille > 0 && self.rng.random_range(0..1_000) < permille
     }
 }
--- a/components/fakes/src/tasks.rs
+++ b/components/fakes/src/tasks.rs
@@ -1,4 +1,5 @@
-//! Futures in virtual time: they run when the clock reaches the end of their sleeps.
+//! Executor for futures in virtual time. A future is polled again when the clock reaches the end of
+//! its sleep.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,36 +19,36 @@
 
 type Task = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Futures that wait for virtual time.
+/// Executor in virtual time.
 pub struct Tasks {
     clock: Rc<ManualClock>,
-    next: Cell<u64>,
+    next_id: Cell<u64>,
     current: Cell<u64>,
     waiting: RefCell<BTreeMap<u64, (u64, Task)>>,
-    wakes: RefCell<BTreeSet<(Instant, u64)>>,
+    sleeps: RefCell<BTreeSet<(Instant, u64)>>,
 }
 
 impl Tasks {
-    /// Starts without any. The clock is advanced by the owner.
+    /// An executor without futures. The caller advances the clock.
     #[must_use]
     pub fn new(clock: Rc<ManualClock>) -> Rc<Self> {
         Rc::new(Self {
             clock,
-            next: Cell::new(1),
+            next_id: Cell::new(1),
             current: Cell::new(0),
             waiting: RefCell::default(),
-            wakes: RefCell::default(),
+            sleeps: RefCell::default(),
         })
     }
 
-    /// Starts a future for a process, and runs it up to its first sleep.
+    /// Runs a future of the process `owner` up to its first sleep, and keeps it until it completes.
     pub fn spawn(&self, owner: u64, task: impl Future<Output = ()> + 'static) {
-        let id = self.next.get();
-        self.next.set(id + 1);
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
         self.poll(id, owner, Box::pin(task));
     }
 
-    /// Drops the futures of a process that was killed.
+    /// Drops the futures of the process `owner`.
     pub fn cancel(&self, owner: u64) {
         let cancelled: Vec<u64> = self
             .waiting
@@ -62,21 +63,21 @@
         }
     }
 
-    /// When the next future can go on.
+    /// Earliest end of a sleep.
     #[must_use]
     pub fn next_wake(&self) -> Option<Instant> {
-        self.wakes.borrow().first().map(|(at, _)| *at)
+        self.sleeps.borrow().first().map(|(at, _)| *at)
     }
 
-    /// Runs the futures whose sleep has ended.
+    /// Polls the futures whose sleep has ended.
     pub fn run_due(&self) {
         let now = self.clock.now();
         loop {
-            let due = self.wakes.borrow().first().copied();
+            let due = self.sleeps.borrow().first().copied();
             let Some((at, id)) = due.filter(|(at, _)| *at <= now) else {
                 return;
             };
-            self.wakes.borrow_mut().remove(&(at, id));
+            self.sleeps.borrow_mut().remove(&(at, id));
             let task = self.waiting.borrow_mut().remove(&id);
             if let Some((owner, task)) = task {
                 self.poll(id, owner, task);
@@ -85,17 +86,17 @@
     }
 
     fn poll(&self, id: u64, owner: u64, mut task: Task) {
-        let before = self.current.replace(id);
+        let previous = self.current.replace(id);
         let mut context = Context::from_waker(Waker::noop());
         let poll = task.as_mut().poll(&mut context);
-        self.current.set(before);
+        self.current.set(previous);
         if poll.is_pending() {
             self.waiting.borrow_mut().insert(id, (owner, task));
         }
     }
 }
 
-/// Sleeps in virtual time. Only futures that run as [`Tasks`] may use it.
+/// Timer in virtual time. Only futures that [`Tasks`] polls may use it.
 #[derive(Clone)]
 pub struct VirtualTimer(pub Rc<Tasks>);
 
@@ -121,7 +122,7 @@
             return Poll::Ready(());
         }
         let id = self.tasks.current.get();
-        self.tasks.wakes.borrow_mut().insert((self.until, id));
+        self.tasks.sleeps.borrow_mut().insert((self.until, id));
         Poll::Pending
     }
 }
--- a/components/fakes/tests/engine.rs
+++ b/components/fakes/tests/engine.rs
@@ -1,10 +1,11 @@
-//! Guards against a fake engine that loses work, overcommits memory or favours a policy.
+//! Guards the policy measurements against a fake engine that loses jobs, exceeds its cache memory,
+//! or ignores priorities, cached prefixes or roles.
 
 use std::time::Duration;
 
 use fakes::engine::Engine;
 use fakes::engine_cache::PieceCache;
-use fakes::engine_job::Constants;
+use fakes::engine_job::EngineSettings;
 use fakes::engine_job::Job;
 use fakes::engine_job::Progress;
 use seeded::quickcheck;
@@ -14,7 +15,7 @@
 fn job(request: u128, priority: u8, prompt_tokens: u32, output_tokens: u32) -> Job {
     Job {
         attempt: AttemptId { request, number: 1 },
-        reader: 0,
+        entry: 0,
         priority,
         prompt_tokens,
         output_tokens,
@@ -26,60 +27,60 @@
 }
 
 fn engine(role: Role) -> Engine {
-    Engine::new(Constants::default(), role, 1, 5)
+    Engine::new(EngineSettings::default(), role, 1, 5)
 }
 
-/// Runs until the engine has nothing to do; returns the time and what it told.
+/// Runs the engine until it is idle; returns the time and the progress of all jobs.
 fn finish(engine: &mut Engine) -> (Duration, Vec<Progress>) {
-    let (mut now, mut told) = (Duration::ZERO, Vec::new());
-    while let Some(next) = engine.next() {
+    let (mut now, mut progress) = (Duration::ZERO, Vec::new());
+    while let Some(next) = engine.next_event_at() {
         now = next;
-        told.extend(engine.advance(now));
+        progress.extend(engine.advance(now));
     }
-    (now, told)
+    (now, progress)
 }
 
-fn order_of_ends(told: &[Progress]) -> Vec<u128> {
-    let ended = |progress: &Progress| match progress {
-        Progress::Ended(attempt, _) => Some(attempt.request),
+fn completion_order(progress: &[Progress]) -> Vec<u128> {
+    let completed = |progress: &Progress| match progress {
+        Progress::Completed(attempt, _) => Some(attempt.request),
         _ => None,
     };
-    told.iter().filter_map(ended).collect()
+    progress.iter().filter_map(completed).collect()
 }
 
 quickcheck! {
-    fn ends_every_job_exactly_once(jobs: Vec<(u8, u16, u8)>, role: u8) -> bool {
+    fn completes_every_job_exactly_once(jobs: Vec<(u8, u16, u8)>, role: u8) -> bool {
         let role = [Role::Prefill, Role::Mixed, Role::Decode][usize::from(role) % 3];
         let mut engine = engine(role);
         for (at, (priority, prompt, output)) in jobs.iter().enumerate() {
             let job = job(at as u128, *priority, u32::from(*prompt) + 1, u32::from(*output) + 1);
             engine.submit(Duration::ZERO, job);
         }
-        let mut ended = order_of_ends(&finish(&mut engine).1);
-        ended.sort_unstable();
-        ended == (0..jobs.len() as u128).collect::<Vec<_>>()
+        let mut completed = completion_order(&finish(&mut engine).1);
+        completed.sort_unstable();
+        completed == (0..jobs.len() as u128).collect::<Vec<_>>()
     }
 
-    fn memory_stays_within_its_limit(requests: Vec<(u8, u8, bool)>) -> bool {
+    fn cache_memory_stays_within_its_capacity(requests: Vec<(u8, u8, bool)>) -> bool {
         let mut cache = PieceCache::new(32);
-        let mut held = Vec::new();
+        let mut allocations = Vec::new();
         requests.iter().all(|(document, pieces, release)| {
             let prefixes: Vec<u64> = (0..u64::from(pieces % 12))
                 .map(|piece| u64::from(document % 4) * 100 + piece)
                 .collect();
-            let mut log = Vec::new();
-            if let Some(mut taken) = cache.admit(&prefixes, 1, &mut log) {
-                cache.publish(&prefixes, &mut taken, &mut log);
-                held.push((prefixes, taken));
+            let mut pieces_changed = Vec::new();
+            if let Some(mut allocation) = cache.admit(&prefixes, 1, &mut pieces_changed) {
+                cache.publish(&prefixes, &mut allocation, &mut pieces_changed);
+                allocations.push((prefixes, allocation));
             }
-            if *release && let Some((prefixes, taken)) = held.pop() {
-                cache.release(&prefixes, &taken);
+            if *release && let Some((prefixes, allocation)) = allocations.pop() {
+                cache.release(&prefixes, &allocation);
             }
             cache.used() <= 32
         })
     }
 
-    fn a_crash_fails_everything_that_was_in_service(jobs: u8) -> bool {
+    fn a_crash_fails_all_running_and_waiting_jobs(jobs: u8) -> bool {
         let mut engine = engine(Role::Mixed);
         for request in 0..u128::from(jobs) {
             engine.submit(Duration::ZERO, job(request, 4, 5_000, 50));
@@ -89,30 +90,30 @@
 }
 
 #[test]
-fn serves_the_first_priority_first() {
+fn serves_the_most_urgent_priority_first() {
     let mut engine = engine(Role::Mixed);
     engine.submit(Duration::ZERO, job(1, 5, 40_000, 10));
     engine.submit(Duration::ZERO, job(2, 0, 500, 10));
-    assert_eq!(order_of_ends(&finish(&mut engine).1), [2, 1]);
+    assert_eq!(completion_order(&finish(&mut engine).1), [2, 1]);
 }
 
 #[test]
-fn a_cached_prefix_saves_its_prefill() {
+fn a_cached_prefix_is_not_processed_again() {
     let mut engine = engine(Role::Mixed);
     engine.submit(Duration::ZERO, job(1, 4, 40_000, 2));
-    let (first, _) = finish(&mut engine);
-    engine.submit(first, job(2, 4, 40_500, 2));
-    let (second, told) = finish(&mut engine);
-    assert!(second.saturating_sub(first) * 10 < first);
-    let cached = told.iter().find_map(|progress| match progress {
-        Progress::Ended(_, usage) => Some(usage.cached_tokens),
+    let (first_end, _) = finish(&mut engine);
+    engine.submit(first_end, job(2, 4, 40_500, 2));
+    let (second_end, progress) = finish(&mut engine);
+    assert!(second_end.saturating_sub(first_end) * 10 < first_end);
+    let cached = progress.iter().find_map(|progress| match progress {
+        Progress::Completed(_, usage) => Some(usage.cached_tokens),
         _ => None,
     });
     assert_eq!(cached, Some(40_000));
 }
 
 #[test]
-fn roles_differ_in_what_they_are_fast_at() {
+fn prefill_role_is_faster_at_prompts_and_decode_role_at_output() {
     let time = |role, prompt, output| {
         let mut engine = engine(role);
         for request in 0..30 {
@@ -125,17 +126,17 @@
 }
 
 #[test]
-fn finishes_its_work_before_it_changes_its_role_and_comes_back_without_cache() {
+fn finishes_its_jobs_before_a_role_change_and_returns_with_an_empty_cache() {
     let mut engine = engine(Role::Mixed);
     engine.submit(Duration::ZERO, job(1, 4, 4_000, 10));
     engine.change_role(Duration::ZERO, Role::Decode);
     assert!(!engine.submit(Duration::ZERO, job(2, 4, 4_000, 10)));
-    let (now, told) = finish(&mut engine);
-    assert_eq!(order_of_ends(&told), [1]);
+    let (now, progress) = finish(&mut engine);
+    assert_eq!(completion_order(&progress), [1]);
     assert!(engine.is_serving() && engine.role() == Role::Decode);
     engine.submit(now, job(3, 4, 4_000, 10));
-    let (_, told) = finish(&mut engine);
-    assert!(told.iter().any(|progress| {
-        matches!(progress, Progress::Ended(_, usage) if usage.cached_tokens == 0)
+    let (_, progress) = finish(&mut engine);
+    assert!(progress.iter().any(|progress| {
+        matches!(progress, Progress::Completed(_, usage) if usage.cached_tokens == 0)
     }));
 }
--- a/examples/policy/admission.rs
+++ b/examples/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of one entry: one queue of the crate `request` for each class.
+//! Admission of one entry, which keeps one `request::queue::Queue` for each class.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,31 +6,31 @@
 use request::queue::Queue;
 use types::RequestId;
 
-use crate::policy::Without;
+use crate::policy::DisabledMechanisms;
 
-/// Requests of one entry and class that may wait.
+/// Limit on the waiting calls of one class at an entry.
 const QUEUE_LIMIT: usize = 256;
-/// Longer than a run. Waiting that begins this late never raises a priority.
-const NEVER: Duration = Duration::from_hours(10);
+/// Longer than a run. A call whose waiting time starts this late is never raised in priority.
+const NO_AGEING_DELAY_MS: Duration = Duration::from_hours(10);
 
-/// Requests that wait for a target.
+/// Calls that wait for a target at one entry.
 #[derive(Debug, Default)]
 pub struct Admission {
     queues: [Queue; 3],
-    without_ageing: bool,
-    without_hang_ups: bool,
+    is_ageing_disabled: bool,
+    is_hang_up_tracking_disabled: bool,
 }
 
 impl Admission {
-    pub fn new(without: &Without) -> Self {
+    pub fn new(disabled: &DisabledMechanisms) -> Self {
         Self {
-            without_ageing: without.has("ageing"),
-            without_hang_ups: without.has("hang-ups"),
+            is_ageing_disabled: disabled.has("ageing"),
+            is_hang_up_tracking_disabled: disabled.has("hang-ups"),
             ..Self::default()
         }
     }
 
-    /// Adds a call; returns whether it can be expected to finish in time.
+    /// Queues a call; returns false if the queue is full or the deadline cannot be met.
     pub fn push(
         &mut self,
         now: Instant,
@@ -43,16 +43,16 @@
         if queue.len() >= QUEUE_LIMIT || queue.excess(now, priority, deadline).is_some() {
             return false;
         }
-        let since = if self.without_ageing {
-            now + NEVER
+        let waiting_since = if self.is_ageing_disabled {
+            now + NO_AGEING_DELAY_MS
         } else {
             now
         };
-        queue.push(now, call as RequestId, priority, deadline, since);
+        queue.push(now, call as RequestId, priority, deadline, waiting_since);
         true
     }
 
-    /// The call to route next among the classes that are not blocked, with its class.
+    /// Next call to route, with its class, among the classes that are not blocked.
     pub fn next(&mut self, now: Instant, blocked: [bool; 3]) -> Option<(usize, usize)> {
         let classes = (0..3).filter(|class| !blocked[*class]);
         let first = classes.filter_map(|class| Some((self.queues[class].first(now)?, class)));
@@ -60,55 +60,61 @@
         Some((call_of(request), class))
     }
 
-    /// Calls of a class that can no longer be answered in time.
+    /// Waiting calls of a class that can no longer be answered by their deadline.
     pub fn overdue(&mut self, now: Instant, class: usize) -> Vec<usize> {
         let overdue = self.queues[class].overdue(now);
         overdue.iter().map(|late| call_of(late.request)).collect()
     }
 
-    /// A call was sent to a target that is expected to answer after `finish`.
-    pub fn depart(&mut self, now: Instant, call: usize, class: usize, finish: Duration) {
-        self.queues[class].depart(now, call as RequestId, finish);
+    /// Removes a call that was sent to a target, which is expected to answer after `finish_ms`.
+    pub fn record_dispatch(
+        &mut self,
+        now: Instant,
+        call: usize,
+        class: usize,
+        finish_ms: Duration,
+    ) {
+        self.queues[class].depart(now, call as RequestId, finish_ms);
     }
 
-    /// No target could finish a call; the fastest one would have taken this long.
-    pub fn infeasible(&mut self, class: usize, finish: Duration) {
-        self.queues[class].infeasible(finish);
+    /// Records that no target could meet a deadline; the fastest one would take `finish_ms`.
+    pub fn record_infeasible(&mut self, class: usize, finish_ms: Duration) {
+        self.queues[class].infeasible(finish_ms);
     }
 
-    pub fn hung_up(&mut self, now: Instant, class: usize, after: Duration) {
-        self.queues[class].patience.hung_up(now, after);
+    pub fn record_hang_up(&mut self, now: Instant, class: usize, after_ms: Duration) {
+        self.queues[class].patience.hung_up(now, after_ms);
     }
 
-    pub fn answered(&mut self, now: Instant, class: usize, after: Duration) {
-        self.queues[class].patience.answered(now, after);
+    pub fn record_answer(&mut self, now: Instant, class: usize, after_ms: Duration) {
+        self.queues[class].patience.answered(now, after_ms);
     }
 
-    /// Time by which an answer is wanted.
-    pub fn wanted_by(
+    /// Effective deadline, earlier than `deadline` if callers of the class usually hang up before.
+    pub fn effective_deadline(
         &mut self,
         now: Instant,
         class: usize,
-        accepted: Instant,
+        submitted_at: Instant,
         deadline: Instant,
     ) -> Instant {
-        if self.without_hang_ups {
+        if self.is_hang_up_tracking_disabled {
             return deadline;
         }
-        self.queues[class].wanted_by(now, accepted, deadline)
+        self.queues[class].wanted_by(now, submitted_at, deadline)
     }
 
-    /// Time until which the caller of a class is expected to wait, if it is known to be short.
-    pub fn waits_until(
+    /// Time at which the caller is expected to hang up, if that is known to be soon.
+    pub fn expected_hang_up(
         &mut self,
         now: Instant,
         class: usize,
-        accepted: Instant,
+        submitted_at: Instant,
     ) -> Option<Instant> {
-        if self.without_hang_ups {
+        if self.is_hang_up_tracking_disabled {
             return None;
         }
-        self.queues[class].waits_until(now, accepted)
+        self.queues[class].waits_until(now, submitted_at)
     }
 
     pub fn remove(&mut self, now: Instant, call: usize, class: usize) {
--- a/examples/policy/baseline.rs
+++ b/examples/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! Policies to compare with.
+//! Baseline policies for routing and role changes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,42 +17,42 @@
 use types::Target;
 use types::TargetName;
 
-/// Difference between share of work and share of engines that makes the bare threshold act.
-const THRESHOLD: f64 = 0.1;
+/// Difference between the prefill shares of work and of engines from which a role is changed.
+const ROLE_CHANGE_THRESHOLD: f64 = 0.1;
 
 struct Member {
     target: Target,
-    usable: bool,
+    is_usable: bool,
     sequence: u64,
     outstanding: u32,
 }
 
-/// Round robin or least outstanding, with the same signs of membership as ours.
-pub struct Simple {
+/// Round robin or least outstanding requests, over the targets that report to be available.
+pub struct BaselineRouter {
     members: Vec<Member>,
-    least_outstanding: bool,
+    is_least_outstanding: bool,
     next: usize,
 }
 
-impl Simple {
-    pub fn new(least_outstanding: bool) -> Self {
+impl BaselineRouter {
+    pub fn new(is_least_outstanding: bool) -> Self {
         Self {
             members: Vec::new(),
-            least_outstanding,
+            is_least_outstanding,
             next: 0,
         }
     }
 
-    pub fn target_set(&mut self, target: &Target) {
-        let known = self
+    pub fn set_target(&mut self, target: &Target) {
+        let existing = self
             .members
             .iter_mut()
             .find(|m| m.target.name == target.name);
-        match known {
+        match existing {
             Some(member) => member.target.state = target.state,
             None => self.members.push(Member {
                 target: target.clone(),
-                usable: true,
+                is_usable: true,
                 sequence: 0,
                 outstanding: 0,
             }),
@@ -65,7 +65,7 @@
             && report.sequence > member.sequence
         {
             member.sequence = report.sequence;
-            member.usable = !report.leaving && !report.away;
+            member.is_usable = !report.leaving && !report.away;
         }
     }
 
@@ -74,18 +74,18 @@
     }
 }
 
-impl Router for Simple {
+impl Router for BaselineRouter {
     fn choose(&mut self, _now: Instant, need: &Need, exclude: &[TargetName]) -> Choice {
         let count = self.members.len();
-        let open = |member: &Member| {
-            member.usable
+        let is_open = |member: &Member| {
+            member.is_usable
                 && member.target.state.accepts_work()
                 && member.outstanding < need.concurrency_limit
                 && !exclude.contains(&member.target.name)
         };
         let order = (0..count).map(|step| (self.next + step) % count);
-        let mut usable = order.filter(|at| open(&self.members[*at]));
-        let chosen = if self.least_outstanding {
+        let mut usable = order.filter(|at| is_open(&self.members[*at]));
+        let chosen = if self.is_least_outstanding {
             usable.min_by_key(|at| self.members[*at].outstanding)
         } else {
             usable.next()
@@ -117,7 +117,8 @@
     }
 }
 
-/// Changes a role whenever the share of the work differs enough from the share of engines.
+/// Changes a role whenever the prefill share of the work differs enough from that of the engines.
+/// Unlike the planner, it does not weigh the cost of a change. One change runs at a time.
 pub struct BareThreshold {
     pub mix: Mix,
     pending: Option<(TargetName, Role)>,
@@ -138,34 +139,35 @@
         rates: &routing::RoleRates,
     ) -> Option<(TargetName, Role)> {
         self.mix.advance(now);
-        let open = || {
+        let open_targets = || {
             targets
                 .iter()
                 .filter(|view| view.standing == Standing::Open)
         };
         if let Some((target, role)) = &self.pending {
-            if !open().any(|view| view.name == *target && view.role == *role) {
+            if !open_targets().any(|view| view.name == *target && view.role == *role) {
                 return None;
             }
             self.pending = None;
         }
         let (prefill, decode) = self.mix.fast().engine_time(rates);
-        let wanted = prefill / (prefill + decode).max(1e-9);
-        let value = |view: &TargetView| match view.role {
+        let work_share = prefill / (prefill + decode).max(1e-9);
+        let prefill_weight = |view: &TargetView| match view.role {
             Role::Prefill => 1.0,
             Role::Mixed => 0.5,
             Role::Decode => 0.0,
         };
-        let (sum, count) = open().fold((0.0, 0.0), |(s, n), v| (s + value(v), n + 1.0));
-        let have: f64 = sum / f64::max(count, 1.0);
-        let (from, to) = if wanted > have + THRESHOLD {
+        let (sum, count) =
+            open_targets().fold((0.0, 0.0), |(s, n), v| (s + prefill_weight(v), n + 1.0));
+        let engine_share: f64 = sum / f64::max(count, 1.0);
+        let (from, to) = if work_share > engine_share + ROLE_CHANGE_THRESHOLD {
             ([Role::Decode, Role::Mixed], Role::Prefill)
-        } else if wanted < have - THRESHOLD {
+        } else if work_share < engine_share - ROLE_CHANGE_THRESHOLD {
             ([Role::Prefill, Role::Mixed], Role::Decode)
         } else {
             return None;
         };
-        let of_role = |role: Role| open().find(|view| view.role == role);
+        let of_role = |role: Role| open_targets().find(|view| view.role == role);
         let target = from.into_iter().find_map(of_role)?.name.clone();
         self.pending = Some((target.clone(), to));
         Some((target, to))
--- a/examples/policy/bound.rs
+++ b/examples/policy/bound.rs
@@ -1,11 +1,13 @@
-//! Upper bound on goodput for one arrival trace, with perfect knowledge and free roles.
+//! Upper bound on the goodput for one arrival trace, for a policy that knows all arrivals and
+//! changes roles without cost.
 //!
-//! The relaxation and the proof that it is an upper bound are in `docs/policy.md`.
+//! The bound comes from the dual of a relaxed scheduling problem, with a price for the engine time
+//! in each slot. `docs/policy.md` states the relaxation and proves that it is an upper bound.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
-use fakes::engine_job::Constants;
+use fakes::engine_job::EngineSettings;
 use routing::RoleRates;
 
 use crate::scenario::PIECE_TOKENS;
@@ -13,37 +15,40 @@
 use crate::script::Script;
 use crate::trace::Call;
 
-/// Length of a time slot.
+/// Length of a time slot of the relaxed problem.
 const SLOT_S: f64 = 2.0;
-/// Parts of the fixed time of a step that its streams pay for; its chunk pays for the rest.
+/// Shares of the fixed time of a step that are charged to its decoding requests. The rest is
+/// charged to its prompt chunk.
 const STEP_SHARES: [f64; 3] = [0.0, 0.5, 1.0];
-/// Ways of sharing that the descent is run for, those with the lowest bound at flat prices.
-const DESCENTS: usize = 2;
-/// Steps of the descent; more steps lower the bound by less than a tenth of a per cent.
+/// Number of divisions of the step time for which the descent runs: those with the lowest bounds at
+/// flat prices.
+const DESCENT_CANDIDATES: usize = 2;
+/// Steps of the subgradient descent. More steps lower the bound by less than 0.1 %.
 const DESCENT_STEPS: u32 = 300;
-/// Prices tried that are the same in all slots.
+/// Number of flat prices tried, that is, the same price in all slots.
 const FLAT_PRICES: u32 = 60;
 
-/// Bounds for one trace.
+/// Upper bounds for one trace.
 #[derive(Debug, Clone, Copy)]
 pub struct Bound {
-    /// Requests.
+    /// Number of calls answered by their deadline.
     pub calls: f64,
-    /// Engine seconds of work.
-    pub work: f64,
+    /// Engine time of the calls answered by their deadline, in seconds.
+    pub engine_s: f64,
 }
 
 struct Item {
     value: f64,
-    work: f64,
-    first: usize,
-    last: usize,
+    engine_s: f64,
+    first_slot: usize,
+    last_slot: usize,
 }
 
-/// Least engine time of each call, in seconds, for one way to share the steps' fixed time in each
-/// role.
-pub fn least_work(calls: &[Call], step_shares: [f64; 3]) -> Vec<f64> {
-    let rates: [RoleRates; 3] = Constants::default().rates;
+/// Least engine time of each call, in seconds.
+///
+/// `step_shares` is the share of the fixed time of a step charged to decoding, for each role.
+pub fn least_engine_s(calls: &[Call], step_shares: [f64; 3]) -> Vec<f64> {
+    let rates: [RoleRates; 3] = EngineSettings::default().rates;
     let prefill_ms = |role: usize| {
         let step_ms = (1.0 - step_shares[role]) * rates[role].step_ms;
         rates[role].prefill_ms_per_token + step_ms / f64::from(rates[role].chunk_tokens)
@@ -57,51 +62,54 @@
     calls
         .iter()
         .map(|call| {
-            // A piece has to be processed at least once by somebody, in any role; the first call
-            // that brings it pays for it. The rest of the prompt and the output run in one role.
+            // Each piece is processed at least once, by an engine in any role, and is charged to
+            // the first call that has it. The rest of the prompt and the output run in one role.
             let new = call.prefixes.iter().filter(|piece| seen.insert(**piece));
             let new = u32::try_from(new.count()).unwrap_or(u32::MAX) * PIECE_TOKENS;
-            let whole = u32::try_from(call.prefixes.len()).unwrap_or(u32::MAX) * PIECE_TOKENS;
-            let rest = f64::from(call.prompt_tokens.saturating_sub(whole));
+            let in_pieces = u32::try_from(call.prefixes.len()).unwrap_or(u32::MAX) * PIECE_TOKENS;
+            let rest = f64::from(call.prompt_tokens.saturating_sub(in_pieces));
             let output = f64::from(call.output_tokens.saturating_sub(1));
-            let own = least(&|role| rest * prefill_ms(role) + output * decode_ms(role));
-            (own + f64::from(new) * least(&prefill_ms)) / 1e3
+            let own_ms = least(&|role| rest * prefill_ms(role) + output * decode_ms(role));
+            (own_ms + f64::from(new) * least(&prefill_ms)) / 1e3
         })
         .collect()
 }
 
-/// Computes both bounds: by number of requests, and by engine time.
+/// Computes both bounds: `weights` are the values of the calls for the bound on the engine time.
 pub fn bound(scenario: &Scenario, script: &Script, calls: &[Call], weights: &[f64]) -> Bound {
     let capacity = capacity(scenario, script, calls);
-    let all = STEP_SHARES.map(|a| STEP_SHARES.map(|b| STEP_SHARES.map(|c| [a, b, c])));
-    let works = all.into_iter().flatten().flatten();
-    let works: Vec<_> = works.map(|shares| least_work(calls, shares)).collect();
+    let divisions = STEP_SHARES.map(|a| STEP_SHARES.map(|b| STEP_SHARES.map(|c| [a, b, c])));
+    let divisions = divisions.into_iter().flatten().flatten();
+    let engine_s_of_divisions: Vec<_> = divisions
+        .map(|shares| least_engine_s(calls, shares))
+        .collect();
     let lowest = |value: &dyn Fn(usize) -> f64| {
-        let mut flat: Vec<_> = works
+        let mut candidates: Vec<_> = engine_s_of_divisions
             .iter()
-            .map(|work| {
-                let items = items(calls, work, value);
-                (best_flat_prices(&items, &capacity), items)
+            .map(|engine_s| {
+                let items = items(calls, engine_s, value);
+                (best_flat_price(&items, &capacity), items)
             })
             .collect();
-        flat.sort_by(|a, b| a.0.0.total_cmp(&b.0.0));
-        flat.into_iter()
-            .take(DESCENTS)
+        candidates.sort_by(|a, b| a.0.0.total_cmp(&b.0.0));
+        candidates
+            .into_iter()
+            .take(DESCENT_CANDIDATES)
             .map(|((_, price), items)| lowest_dual(&items, &capacity, price))
             .fold(f64::INFINITY, f64::min)
     };
     Bound {
         calls: lowest(&|_| 1.0),
-        work: lowest(&|at| weights[at]),
+        engine_s: lowest(&|at| weights[at]),
     }
 }
 
-fn items(calls: &[Call], work: &[f64], value: impl Fn(usize) -> f64) -> Vec<Item> {
+fn items(calls: &[Call], engine_s: &[f64], value: impl Fn(usize) -> f64) -> Vec<Item> {
     let item = |(at, call): (usize, &Call)| Item {
         value: value(at),
-        work: work[at],
-        first: slot(call.at),
-        last: slot(call.deadline),
+        engine_s: engine_s[at],
+        first_slot: slot(call.at),
+        last_slot: slot(call.deadline),
     };
     calls.iter().enumerate().map(item).collect()
 }
@@ -111,7 +119,7 @@
     (at.as_secs_f64() / SLOT_S) as usize
 }
 
-/// Engine seconds in each slot.
+/// Available engine time in each slot, in seconds.
 #[allow(clippy::cast_precision_loss)]
 fn capacity(scenario: &Scenario, script: &Script, calls: &[Call]) -> Vec<f64> {
     let slots = calls
@@ -124,18 +132,20 @@
         .map(|at| {
             let begin = Duration::from_secs_f64(at as f64 * SLOT_S);
             let end = Duration::from_secs_f64((at + 1) as f64 * SLOT_S);
-            let gone = script.engines_surely_gone(begin, end);
-            (scenario.engines - gone) as f64 * SLOT_S
+            let unavailable = script.engines_out_of_service(begin, end);
+            (scenario.engines - unavailable) as f64 * SLOT_S
         })
         .collect()
 }
 
-/// Lowest value of the dual that the descent finds; every value is an upper bound.
+/// Lowest value of the dual that the descent finds. Every value of the dual is an upper bound.
 fn lowest_dual(items: &[Item], capacity: &[f64], flat_price: f64) -> f64 {
     let mut prices = vec![flat_price; capacity.len()];
     let mut excess = vec![0.0; capacity.len()];
     let mut lowest = dual(items, capacity, &prices, &mut excess);
-    let scale = items.iter().map(|item| item.value / item.work.max(1e-9));
+    let scale = items
+        .iter()
+        .map(|item| item.value / item.engine_s.max(1e-9));
     let scale = scale.fold(0.0, f64::max).min(4.0);
     for step in 1..=DESCENT_STEPS {
         let norm = excess.iter().map(|e| e * e).sum::<f64>().sqrt().max(1e-9);
@@ -149,7 +159,7 @@
 }
 
 /// Lowest value of the dual with one price in all slots, and that price.
-fn best_flat_prices(items: &[Item], capacity: &[f64]) -> (f64, f64) {
+fn best_flat_price(items: &[Item], capacity: &[f64]) -> (f64, f64) {
     let mut best = (f64::INFINITY, 0.0);
     let mut excess = vec![0.0; capacity.len()];
     for step in 0..=FLAT_PRICES {
@@ -166,36 +176,37 @@
     best
 }
 
-/// Value of the dual at the prices; `excess` gets the work that wants a slot beyond its capacity.
+/// Value of the dual at these prices. `excess` is set to the engine time assigned to each slot, less
+/// its capacity.
 fn dual(items: &[Item], capacity: &[f64], prices: &[f64], excess: &mut [f64]) -> f64 {
-    let cheapest = Cheapest::new(prices);
+    let cheapest_slots = CheapestSlots::new(prices);
     let mut value = 0.0;
     for (at, capacity) in capacity.iter().enumerate() {
         value += capacity * prices[at];
         excess[at] = -capacity;
     }
     for item in items {
-        let at = cheapest.between(prices, item.first, item.last);
-        let surplus = item.value - item.work * prices[at];
+        let at = cheapest_slots.between(prices, item.first_slot, item.last_slot);
+        let surplus = item.value - item.engine_s * prices[at];
         if surplus > 0.0 {
             value += surplus;
-            excess[at] += item.work;
+            excess[at] += item.engine_s;
         }
     }
     value
 }
 
-/// Position of the lowest price in any range of slots.
-struct Cheapest(Vec<Vec<usize>>);
+/// Sparse table that finds the slot with the lowest price in a range of slots.
+struct CheapestSlots(Vec<Vec<usize>>);
 
-impl Cheapest {
+impl CheapestSlots {
     fn new(prices: &[f64]) -> Self {
         let mut levels: Vec<Vec<usize>> = vec![(0..prices.len()).collect()];
         let mut width = 1;
         while 2 * width <= prices.len() {
             let below = &levels[levels.len() - 1];
             let level = (0..=prices.len() - 2 * width)
-                .map(|at| lower(prices, below[at], below[at + width]))
+                .map(|at| cheaper_slot(prices, below[at], below[at + width]))
                 .collect();
             levels.push(level);
             width *= 2;
@@ -206,11 +217,11 @@
     fn between(&self, prices: &[f64], first: usize, last: usize) -> usize {
         let level = (last - first + 1).ilog2();
         let row = &self.0[level as usize];
-        lower(prices, row[first], row[last + 1 - (1 << level)])
+        cheaper_slot(prices, row[first], row[last + 1 - (1 << level)])
     }
 }
 
-fn lower(prices: &[f64], left: usize, right: usize) -> usize {
+fn cheaper_slot(prices: &[f64], left: usize, right: usize) -> usize {
     if prices[right] < prices[left] {
         right
     } else {
--- a/examples/policy/policy.rs
+++ b/examples/policy/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared, and what of ours can be switched off.
+//! The compared policies, and the mechanisms that can be switched off.
 
 use std::time::Instant;
 
@@ -10,16 +10,19 @@
 use types::Target;
 
 use crate::baseline::BareThreshold;
-use crate::baseline::Simple;
+use crate::baseline::BaselineRouter;
 use crate::scenario::Scenario;
 
-/// A policy for routing and roles.
+/// Policy for routing and role changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
     RoundRobin,
     LeastOutstanding,
+    /// The crate `routing` without role changes.
     NoRoleChanges,
+    /// The crate `routing`, with role changes by a threshold.
     BareThreshold,
+    /// The crates `routing` and `planner`.
     Ours,
 }
 
@@ -43,7 +46,7 @@
     }
 }
 
-/// Names that `--without` takes.
+/// Mechanisms that `--without` can switch off.
 pub const MECHANISMS: [&str; 16] = [
     "cache",
     "five-samples",
@@ -63,55 +66,55 @@
     "hang-ups",
 ];
 
-/// Mechanisms of ours that are switched off.
+/// Mechanisms that `--without` switches off.
 #[derive(Debug, Clone, Default)]
-pub struct Without(pub Vec<String>);
+pub struct DisabledMechanisms(pub Vec<String>);
 
-impl Without {
+impl DisabledMechanisms {
     pub fn has(&self, name: &str) -> bool {
-        self.0.iter().any(|without| without == name)
+        self.0.iter().any(|disabled| disabled == name)
     }
 }
 
-/// Routing of one entry.
+/// Router of one entry.
 pub enum Routing {
-    Ours(Box<Fleet>),
-    Simple(Simple),
+    Fleet(Box<Fleet>),
+    Baseline(BaselineRouter),
 }
 
 impl Routing {
     pub fn new(
         scenario: &Scenario,
         policy: Policy,
-        without: &Without,
+        disabled: &DisabledMechanisms,
         entry: usize,
         seed: u64,
     ) -> Self {
         match policy {
-            Policy::RoundRobin => Self::Simple(Simple::new(false)),
-            Policy::LeastOutstanding => Self::Simple(Simple::new(true)),
+            Policy::RoundRobin => Self::Baseline(BaselineRouter::new(false)),
+            Policy::LeastOutstanding => Self::Baseline(BaselineRouter::new(true)),
             _ => {
-                let settings = routing_settings(scenario, without, entry);
-                Self::Ours(Box::new(Fleet::new(settings, seed)))
+                let settings = routing_settings(scenario, disabled, entry);
+                Self::Fleet(Box::new(Fleet::new(settings, seed)))
             }
         }
     }
 
     pub fn router(&mut self) -> &mut dyn Router {
         match self {
-            Self::Ours(fleet) => fleet.as_mut(),
-            Self::Simple(simple) => simple,
+            Self::Fleet(fleet) => fleet.as_mut(),
+            Self::Baseline(router) => router,
         }
     }
 
-    pub fn target_set(&mut self, now: Instant, target: &Target) {
+    pub fn set_target(&mut self, now: Instant, target: &Target) {
         match self {
-            Self::Ours(fleet) => fleet.target_set(now, target),
-            Self::Simple(simple) => simple.target_set(target),
+            Self::Fleet(fleet) => fleet.target_set(now, target),
+            Self::Baseline(router) => router.set_target(target),
         }
     }
 
-    pub fn heard(
+    pub fn report_received(
         &mut self,
         now: Instant,
         target: &Target,
@@ -119,56 +122,62 @@
         events: &[CacheEvent],
     ) {
         match self {
-            Self::Ours(fleet) => {
+            Self::Fleet(fleet) => {
                 fleet.probe_answered(now, &target.name, report.incarnation);
                 fleet.load_report(now, &target.name, report);
                 fleet.cache_events(&target.name, report.incarnation, events);
             }
-            Self::Simple(simple) => simple.load_report(&target.name, report),
+            Self::Baseline(router) => router.load_report(&target.name, report),
         }
     }
 }
 
-/// What decides on roles.
-pub enum Roleplan {
+/// Policy for role changes.
+pub enum RolePolicy {
     None,
-    Ours(Box<Planner>),
-    Bare(BareThreshold),
+    Planner(Box<Planner>),
+    Threshold(BareThreshold),
 }
 
-impl Roleplan {
-    pub fn new(scenario: &Scenario, policy: Policy, without: &Without) -> Self {
-        let mut settings = planner::Settings::new(&routing_settings(scenario, without, 0));
+impl RolePolicy {
+    pub fn new(scenario: &Scenario, policy: Policy, disabled: &DisabledMechanisms) -> Self {
+        let mut settings = planner::Settings::new(&routing_settings(scenario, disabled, 0));
         let entries = u32::try_from(scenario.entries).unwrap_or(1);
         settings.traffic_share = 1.0 / f64::from(entries);
         let mechanisms = &mut settings.mechanisms;
-        mechanisms.cost = !without.has("cost");
-        mechanisms.patience = !without.has("patience");
-        mechanisms.hysteresis = !without.has("hysteresis");
-        mechanisms.slow_estimate = !without.has("slow-estimate");
+        mechanisms.cost = !disabled.has("cost");
+        mechanisms.patience = !disabled.has("patience");
+        mechanisms.hysteresis = !disabled.has("hysteresis");
+        mechanisms.slow_estimate = !disabled.has("slow-estimate");
         match policy {
-            Policy::Ours if !without.has("planner") => Self::Ours(Box::new(Planner::new(settings))),
-            Policy::BareThreshold => Self::Bare(BareThreshold::new(&settings)),
+            Policy::Ours if !disabled.has("planner") => {
+                Self::Planner(Box::new(Planner::new(settings)))
+            }
+            Policy::BareThreshold => Self::Threshold(BareThreshold::new(&settings)),
             _ => Self::None,
         }
     }
 }
 
-fn routing_settings(scenario: &Scenario, without: &Without, entry: usize) -> routing::Settings {
+fn routing_settings(
+    scenario: &Scenario,
+    disabled: &DisabledMechanisms,
+    entry: usize,
+) -> routing::Settings {
     let place = scenario.places[entry % scenario.places.len()].clone();
     let mut settings = routing::Settings::new(place);
-    settings.default_distance_ms = scenario.between_places;
-    if without.has("five-samples") {
+    settings.default_distance_ms = scenario.distance_between_places_ms;
+    if disabled.has("five-samples") {
         settings.sample_count = 2;
     }
     let mechanisms = &mut settings.mechanisms;
-    mechanisms.cache = !without.has("cache");
-    mechanisms.netting = !without.has("netting");
-    mechanisms.estimate = !without.has("estimate");
-    mechanisms.slow_start = !without.has("slow-start");
-    mechanisms.ejection = !without.has("ejection");
-    mechanisms.feasibility = !without.has("feasibility");
-    mechanisms.correction = !without.has("correction");
-    mechanisms.work = !without.has("work");
+    mechanisms.cache = !disabled.has("cache");
+    mechanisms.netting = !disabled.has("netting");
+    mechanisms.estimate = !disabled.has("estimate");
+    mechanisms.slow_start = !disabled.has("slow-start");
+    mechanisms.ejection = !disabled.has("ejection");
+    mechanisms.feasibility = !disabled.has("feasibility");
+    mechanisms.correction = !disabled.has("correction");
+    mechanisms.work = !disabled.has("work");
     settings
 }
--- a/examples/policy/scenario.rs
+++ b/examples/policy/scenario.rs
@@ -1,54 +1,55 @@
-//! The two users' fleets, their classes of work, and the sub-scenarios.
+//! The two measured deployments, their classes of calls, and the sub-scenarios.
 
 use std::time::Duration;
 
-use fakes::engine_job::Constants;
+use fakes::engine_job::EngineSettings;
 use planner::Roles;
 use planner::fluid::ROLES;
 use planner::mix::token_ms;
 use types::Place;
 use types::Role;
 
-/// Length of the arrivals of one run.
-pub const ARRIVALS: Duration = Duration::from_mins(10);
-/// Prompt tokens of one cache piece.
+/// Period in which the calls of one run arrive.
+pub const ARRIVAL_PERIOD_MS: Duration = Duration::from_mins(10);
+/// Prompt tokens in one cache piece.
 pub const PIECE_TOKENS: u32 = 2_000;
 
-/// One class of work.
+/// One class of calls.
 #[derive(Debug, Clone)]
 pub struct Class {
     pub priority: u8,
-    /// Pieces of a document that several prompts begin with.
+    /// Number of cache pieces of the document at the start of the prompt, which other calls share.
     pub shared_pieces: u32,
-    /// Prompt tokens after the shared pieces, from and to.
-    pub prompt: (u32, u32),
-    pub output: (u32, u32),
-    pub deadline: Duration,
-    /// Time after which a careless caller hangs up and sends the request again.
-    pub patience: Duration,
+    /// Range of the prompt tokens after the shared pieces.
+    pub prompt_tokens: (u32, u32),
+    /// Range of the output tokens.
+    pub output_tokens: (u32, u32),
+    pub deadline_ms: Duration,
+    /// Time after which a caller hangs up and sends the call again, in [`SubScenario::Resends`].
+    pub patience_ms: Duration,
     pub concurrency_limit: u32,
 }
 
-/// One user's fleet and work.
+/// One deployment and the calls to it.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub name: &'static str,
     pub places: Vec<Place>,
     pub engines: usize,
     pub entries: usize,
-    pub between_places: Duration,
-    pub to_clients: Duration,
+    pub distance_between_places_ms: Duration,
+    pub distance_to_callers_ms: Duration,
     pub role_change_weight: f64,
-    pub documents: u64,
-    /// Desk questions, drafts and long reads.
+    pub document_count: u64,
+    /// Interactive questions (desk), drafts, and questions on long documents (reads).
     pub classes: [Class; 3],
-    /// Shares of the token-time at the start and after the swing.
+    /// Share of each class in the engine time, before and after the change of the mix.
     pub mixes: [[f64; 3]; 2],
 }
 
-/// What happens in a run.
+/// Variation of a scenario, in the mix of classes, the load, the faults or the callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sub {
+pub enum SubScenario {
     Steady,
     Swing,
     Swings,
@@ -58,7 +59,7 @@
     Overload,
 }
 
-impl Sub {
+impl SubScenario {
     pub const ALL: [Self; 7] = [
         Self::Steady,
         Self::Swing,
@@ -81,13 +82,13 @@
         }
     }
 
-    /// Position between the two mixes: 0 before the swing, 1 after it.
-    pub fn mix_at(self, seconds: f64) -> f64 {
+    /// Interpolation factor between the mixes at a time of the run: 0 is the first, 1 the second.
+    pub fn mix_position(self, seconds: f64) -> f64 {
         match self {
             Self::Steady | Self::Overload => 0.0,
             Self::Swings if seconds < 120.0 => 0.0,
             Self::Swings => {
-                // Back and forth with a period of 50 s.
+                // Alternates between the mixes with a period of 50 s.
                 let phase = ((seconds - 120.0) / 50.0).fract();
                 (2.0 - (phase * 4.0 - 2.0).abs() * 2.0).clamp(0.0, 1.0)
             }
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Factor on the offered load.
-    pub fn load_at(self, seconds: f64) -> f64 {
+    /// Factor on the offered load at a time of the run.
+    pub fn load_factor(self, seconds: f64) -> f64 {
         if self == Self::Overload && (200.0..300.0).contains(&seconds) {
             1.8
         } else {
@@ -121,10 +122,10 @@
         places: places(&["bolson-centro", "lago-puelo", "mallin-ahogado"]),
         engines: 12,
         entries: 3,
-        between_places: Duration::from_micros(1_500),
-        to_clients: Duration::from_millis(1),
+        distance_between_places_ms: Duration::from_micros(1_500),
+        distance_to_callers_ms: Duration::from_millis(1),
         role_change_weight: 10.0,
-        documents: 24,
+        document_count: 24,
         classes: [
             desk((300, 900), (40, 120)),
             drafts((500, 1_500), (600, 1_800)),
@@ -140,10 +141,10 @@
         places: places(&["sapporo-a", "sapporo-b", "asahikawa", "hakodate"]),
         engines: 9,
         entries: 3,
-        between_places: Duration::from_millis(1),
-        to_clients: Duration::from_millis(3),
+        distance_between_places_ms: Duration::from_millis(1),
+        distance_to_callers_ms: Duration::from_millis(3),
         role_change_weight: 0.7,
-        documents: 30,
+        document_count: 30,
         classes: [
             desk((200, 700), (20, 80)),
             drafts((600, 1_800), (700, 1_700)),
@@ -157,95 +158,96 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn desk(prompt: (u32, u32), output: (u32, u32)) -> Class {
+fn desk(prompt_tokens: (u32, u32), output_tokens: (u32, u32)) -> Class {
     Class {
         priority: 0,
         shared_pieces: 0,
-        prompt,
-        output,
-        deadline: Duration::from_secs(5),
-        patience: Duration::from_secs(2),
+        prompt_tokens,
+        output_tokens,
+        deadline_ms: Duration::from_secs(5),
+        patience_ms: Duration::from_secs(2),
         concurrency_limit: 48,
     }
 }
 
-fn drafts(prompt: (u32, u32), output: (u32, u32)) -> Class {
+fn drafts(prompt_tokens: (u32, u32), output_tokens: (u32, u32)) -> Class {
     Class {
         priority: 4,
         shared_pieces: 0,
-        prompt,
-        output,
-        deadline: Duration::from_secs(75),
-        patience: Duration::from_secs(45),
+        prompt_tokens,
+        output_tokens,
+        deadline_ms: Duration::from_secs(75),
+        patience_ms: Duration::from_secs(45),
         concurrency_limit: 24,
     }
 }
 
-fn reads(shared_pieces: u32, prompt: (u32, u32), output: (u32, u32)) -> Class {
+fn reads(shared_pieces: u32, prompt_tokens: (u32, u32), output_tokens: (u32, u32)) -> Class {
     Class {
         priority: 5,
         shared_pieces,
-        prompt,
-        output,
-        deadline: Duration::from_mins(1),
-        patience: Duration::from_secs(30),
+        prompt_tokens,
+        output_tokens,
+        deadline_ms: Duration::from_mins(1),
+        patience_ms: Duration::from_secs(30),
         concurrency_limit: 24,
     }
 }
 
 impl Class {
-    /// Engine time of the mean request in a role, with all shared pieces cached.
-    pub fn mean_cost(&self, constants: &Constants, role: Role) -> f64 {
-        let (prefill_ms, decode_ms) = token_ms(&constants.rates[Roles::position(role)]);
+    /// Engine time of the mean call in a role, in seconds, with all shared pieces cached.
+    pub fn mean_engine_s(&self, settings: &EngineSettings, role: Role) -> f64 {
+        let (prefill_ms, decode_ms) = token_ms(&settings.rates[Roles::position(role)]);
         let mean = |(from, to): (u32, u32)| f64::from(from + to) / 2.0;
-        (mean(self.prompt) * prefill_ms + mean(self.output) * decode_ms) / 1e3
+        (mean(self.prompt_tokens) * prefill_ms + mean(self.output_tokens) * decode_ms) / 1e3
     }
 
-    /// The same in the role that is best for the class.
-    pub fn best_cost(&self, constants: &Constants) -> f64 {
+    /// Engine time of the mean call in the role that needs least, in seconds.
+    pub fn least_engine_s(&self, settings: &EngineSettings) -> f64 {
         ROLES
             .iter()
-            .map(|role| self.mean_cost(constants, *role))
+            .map(|role| self.mean_engine_s(settings, *role))
             .fold(f64::INFINITY, f64::min)
     }
 }
 
 impl Scenario {
-    /// Requests per second of a class.
+    /// Arrival rate of a class at a time of the run, per second.
     ///
-    /// A load of 1 is what the fleet could do if each request ran in the role that is best for it,
+    /// A load of 1 is the capacity of all engines if each call ran in the role that is best for it,
     /// all slots and chunks were full, and every shared piece were cached.
-    pub fn rate(&self, class: usize, sub: Sub, load: f64, seconds: f64) -> f64 {
-        let mix = sub.mix_at(seconds);
+    pub fn rate(&self, class: usize, sub_scenario: SubScenario, load: f64, seconds: f64) -> f64 {
+        let mix = sub_scenario.mix_position(seconds);
         let share = self.mixes[0][class] * (1.0 - mix) + self.mixes[1][class] * mix;
         let engines = f64::from(u32::try_from(self.engines).unwrap_or(u32::MAX));
-        let cost = self.classes[class].best_cost(&Constants::default());
-        load * sub.load_at(seconds) * engines * share / cost
+        let call_engine_s = self.classes[class].least_engine_s(&EngineSettings::default());
+        load * sub_scenario.load_factor(seconds) * engines * share / call_engine_s
     }
 
-    /// Roles at the start: those that carry most of the first mix.
-    pub fn first_roles(&self) -> Vec<Role> {
-        let constants = Constants::default();
+    /// Roles at the start of a run: those with the highest capacity for the first mix.
+    pub fn initial_roles(&self) -> Vec<Role> {
+        let settings = EngineSettings::default();
         let mut demand = planner::Demand::default();
         for (at, class) in self.classes.iter().enumerate() {
-            let rate = self.rate(at, Sub::Steady, 1.0, 0.0);
+            let rate = self.rate(at, SubScenario::Steady, 1.0, 0.0);
             let mean = |(from, to): (u32, u32)| f64::from(from + to) / 2.0;
-            let (prefill_ms, decode_ms) = token_ms(&constants.rates[1]);
-            let (prompt, output) = (mean(class.prompt), mean(class.output));
-            let to = if prompt * prefill_ms > output * decode_ms {
+            let (prefill_ms, decode_ms) = token_ms(&settings.rates[1]);
+            let (prompt_tokens, output_tokens) =
+                (mean(class.prompt_tokens), mean(class.output_tokens));
+            let to = if prompt_tokens * prefill_ms > output_tokens * decode_ms {
                 &mut demand.prefill_class
             } else {
                 &mut demand.decode_class
             };
-            to.prefill += rate * prompt;
-            to.decode += rate * output;
+            to.prefill += rate * prompt_tokens;
+            to.decode += rate * output_tokens;
         }
         let engines = u32::try_from(self.engines).unwrap_or(u32::MAX);
         let mut best = (0.0, Roles::default());
         for prefill in 1..engines - 1 {
             for mixed in 0..engines - prefill {
                 let roles = Roles([prefill, mixed, engines - prefill - mixed]);
-                let capacity = roles.capacity(&demand, &constants.rates);
+                let capacity = roles.capacity(&demand, &settings.rates);
                 if capacity > best.0 {
                     best = (capacity, roles);
                 }
--- a/examples/policy/trace.rs
+++ b/examples/policy/trace.rs
@@ -1,4 +1,4 @@
-//! Arrivals of one run.
+//! Random calls of one run, with their arrival times.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::scenario::ARRIVALS;
+use crate::scenario::ARRIVAL_PERIOD_MS;
 use crate::scenario::PIECE_TOKENS;
 use crate::scenario::Scenario;
-use crate::scenario::Sub;
+use crate::scenario::SubScenario;
 
-/// Time over which arrival rates are taken as constant.
-const GRID_S: f64 = 0.1;
+/// Interval in which the arrival rates are constant.
+const RATE_INTERVAL_S: f64 = 0.1;
 
-/// One request of a caller.
+/// One call.
 #[derive(Debug, Clone)]
 pub struct Call {
     pub at: Duration,
@@ -27,23 +27,23 @@
     pub deadline: Duration,
 }
 
-/// Poisson arrivals with the rates of the scenario.
+/// Generates Poisson arrivals at the rates of the scenario.
 #[allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss
 )]
-pub fn arrivals(scenario: &Scenario, sub: Sub, load: f64, seed: u64) -> Vec<Call> {
+pub fn arrivals(scenario: &Scenario, sub_scenario: SubScenario, load: f64, seed: u64) -> Vec<Call> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x7ACE);
     let mut calls = Vec::new();
-    let steps = (ARRIVALS.as_secs_f64() / GRID_S) as u32;
+    let steps = (ARRIVAL_PERIOD_MS.as_secs_f64() / RATE_INTERVAL_S) as u32;
     for step in 0..steps {
-        let begin = f64::from(step) * GRID_S;
+        let start_s = f64::from(step) * RATE_INTERVAL_S;
         for class in 0..scenario.classes.len() {
-            let rate = scenario.rate(class, sub, load, begin);
-            let mut at = begin + exponential(&mut rng, rate);
-            while at < begin + GRID_S {
-                calls.push(call(scenario, class, at, &mut rng));
+            let rate = scenario.rate(class, sub_scenario, load, start_s);
+            let mut at = start_s + exponential(&mut rng, rate);
+            while at < start_s + RATE_INTERVAL_S {
+                calls.push(generate_call(scenario, class, at, &mut rng));
                 at += exponential(&mut rng, rate);
             }
         }
@@ -61,29 +61,30 @@
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss
 )]
-fn call(scenario: &Scenario, class: usize, at: f64, rng: &mut SmallRng) -> Call {
-    let spec = &scenario.classes[class];
-    let tail = rng.random_range(spec.prompt.0..=spec.prompt.1);
-    let output_tokens = rng.random_range(spec.output.0..=spec.output.1);
-    // Callers ask for more than they need, by a factor between 1 and 2.
-    let bound = f64::from(output_tokens) * rng.random_range(1.0..2.0);
-    // Documents differ in popularity: the lower the number, the more often it is read.
-    let skew = rng.random::<f64>().powf(1.6);
-    let document = (skew * scenario.documents as f64) as u64;
-    let shared = (1..=spec.shared_pieces).map(|piece| hash(document, u64::from(piece)));
+fn generate_call(scenario: &Scenario, class: usize, at: f64, rng: &mut SmallRng) -> Call {
+    let class_spec = &scenario.classes[class];
+    let own_tokens = rng.random_range(class_spec.prompt_tokens.0..=class_spec.prompt_tokens.1);
+    let output_tokens = rng.random_range(class_spec.output_tokens.0..=class_spec.output_tokens.1);
+    // Callers set a limit of 1 to 2 times the output that they get.
+    let output_limit = f64::from(output_tokens) * rng.random_range(1.0..2.0);
+    // Documents with a lower number are requested more often.
+    let document_position = rng.random::<f64>().powf(1.6);
+    let document = (document_position * scenario.document_count as f64) as u64;
+    let shared_prefixes =
+        (1..=class_spec.shared_pieces).map(|piece| hash(document, u64::from(piece)));
     let unique = rng.random::<u64>();
-    let whole = tail / PIECE_TOKENS;
-    let own = (1..=whole).map(|piece| hash(unique, u64::from(piece)));
+    let own_pieces = own_tokens / PIECE_TOKENS;
+    let own_prefixes = (1..=own_pieces).map(|piece| hash(unique, u64::from(piece)));
     let at = Duration::from_secs_f64(at);
     Call {
         at,
         class,
         entry: rng.random_range(0..scenario.entries),
-        prompt_tokens: spec.shared_pieces * PIECE_TOKENS + tail,
+        prompt_tokens: class_spec.shared_pieces * PIECE_TOKENS + own_tokens,
         output_tokens,
-        max_output_tokens: bound as u32,
-        prefixes: shared.chain(own).collect(),
-        deadline: at + spec.deadline,
+        max_output_tokens: output_limit as u32,
+        prefixes: shared_prefixes.chain(own_prefixes).collect(),
+        deadline: at + class_spec.deadline_ms,
     }
 }
 
