--- a/benches/path/usage.rs
+++ b/benches/path/usage.rs
@@ -1,11 +1,11 @@
-//! Processor time and memory of processes, as the kernel counts them.
+//! Processor time and resident memory of processes, read from `/proc`.
 
 use testbed::Process;
 
-/// Ticks a second of `/proc/PID/stat` on every Linux that the project runs on.
+/// Clock ticks per second in `/proc/PID/stat` (`USER_HZ`), on all supported Linux systems.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Sum over some processes.
+/// Totals of several processes.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Usage {
     pub cpu_s: f64,
--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -1,8 +1,9 @@
-//! Slopes that `docs/CAPACITY.md` is worked out from: bytes and processor time of messages, and
-//! processor time and memory of an entry by its number of targets, and table calls for leases.
+//! Cost per message, target and lease, from which `docs/CAPACITY.md` is calculated: bytes and
+//! processor time of messages, processor time and memory of an entry by its number of targets, and
+//! table calls for leases.
 //!
-//! Prints one JSON line a figure. Everything runs on one thread without sockets, so the figures
-//! are those of our code alone; `cargo bench --bench path` has the sockets in it.
+//! Prints one JSON line for each result. All code runs on one thread without sockets, so the
+//! results exclude the cost of the network stack; `cargo bench --bench path` includes it.
 
 mod heartbeat;
 mod leases;
