--- a/components/fakes/src/tasks.rs
+++ b/components/fakes/src/tasks.rs
@@ -29,7 +29,7 @@
 }
 
 impl Tasks {
-    /// An executor without futures. The caller advances the clock.
+    /// An executor without futures, which never advances the clock itself.
     #[must_use]
     pub fn new(clock: Rc<ManualClock>) -> Rc<Self> {
         Rc::new(Self {
