--- a/components/store/src/budget.rs
+++ b/components/store/src/budget.rs
@@ -1,4 +1,4 @@
-//! Rate budget for calls to the table, shared by everything in one process.
+//! Rate limit for the calls of one process to the table.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 
 use crate::table::TableRequest;
 
-/// Rates that a process may use. The table takes several hundred writes and about 2,000 reads
-/// a second from all processes together.
+/// Limits for one process. The table handles several hundred writes and about 2,000 reads per
+/// second from all processes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetOptions {
-    /// Reads and scans a second.
+    /// Reads and scans per second.
     pub reads_per_s: f64,
-    /// Transactions a second.
+    /// Transactions per second.
     pub writes_per_s: f64,
-    /// Seconds of the rate that may be used at once after a quiet time.
+    /// Burst size, in seconds of the rate.
     pub burst_s: f64,
-    /// Longest wait for the budget; a call that would wait longer is refused.
+    /// Maximum wait for a token; a call that would wait longer is refused.
     pub max_wait_ms: Duration,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl RateBudget {
-    /// Starts with full buckets.
+    /// Creates a rate limit with full buckets.
     #[must_use]
     pub fn new(options: &BudgetOptions, now: Instant) -> Self {
         Self {
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Takes a token and returns how long to wait before the call, or `None` if that would be
-    /// longer than the limit; nothing is taken then.
+    /// Takes a token and returns how long to wait before the call. Returns `None` and takes no
+    /// token if the wait would exceed the limit.
     pub fn take(&self, now: Instant, request: &TableRequest) -> Option<Duration> {
         let bucket = match request {
             TableRequest::Commit(_) => &self.writes,
@@ -61,13 +61,14 @@
     }
 }
 
-/// One token bucket; a negative level is the debt of calls that are waiting.
+/// Token bucket. The number of tokens is negative while calls wait for tokens that they have
+/// already taken.
 #[derive(Debug)]
 struct Bucket {
     rate_per_s: f64,
     capacity: f64,
-    level: Cell<f64>,
-    filled_at: Cell<Instant>,
+    tokens: Cell<f64>,
+    refilled_at: Cell<Instant>,
 }
 
 impl Bucket {
@@ -77,23 +78,23 @@
         Self {
             rate_per_s,
             capacity,
-            level: Cell::new(capacity),
-            filled_at: Cell::new(now),
+            tokens: Cell::new(capacity),
+            refilled_at: Cell::new(now),
         }
     }
 
     fn take(&self, now: Instant, max_wait_ms: Duration) -> Option<Duration> {
-        let since_s = now
-            .saturating_duration_since(self.filled_at.get())
+        let elapsed_s = now
+            .saturating_duration_since(self.refilled_at.get())
             .as_secs_f64();
-        let level = (self.level.get() + since_s * self.rate_per_s).min(self.capacity);
-        self.level.set(level);
-        self.filled_at.set(now);
-        let wait = Duration::from_secs_f64(((1.0 - level) / self.rate_per_s).max(0.0));
+        let tokens = (self.tokens.get() + elapsed_s * self.rate_per_s).min(self.capacity);
+        self.tokens.set(tokens);
+        self.refilled_at.set(now);
+        let wait = Duration::from_secs_f64(((1.0 - tokens) / self.rate_per_s).max(0.0));
         if wait > max_wait_ms {
             return None;
         }
-        self.level.set(level - 1.0);
+        self.tokens.set(tokens - 1.0);
         Some(wait)
     }
 }
--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP clients of the platform's services.
+//! HTTP clients for the table, object store, weight store and host list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,27 +24,27 @@
 use crate::table::TableRequest;
 use crate::weights::WeightStore;
 
-/// Characters of a path segment that are written as they are; RFC 3986 calls them unreserved.
-const SEGMENT: &AsciiSet = &NON_ALPHANUMERIC
+/// Characters to escape in a path segment: all but the unreserved characters of RFC 3986.
+const PATH_SEGMENT: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
     .remove(b'_')
     .remove(b'~');
 /// Media type of table requests.
-const JSON: &str = "application/json";
+const TABLE_MEDIA_TYPE: &str = "application/json";
 /// Media type of objects.
-const BYTES: &str = "application/octet-stream";
-/// Wait for the weight store when it does not say how long.
-const WEIGHT_WAIT_MS: Duration = Duration::from_secs(1);
+const OBJECT_MEDIA_TYPE: &str = "application/octet-stream";
+/// Delay before the next request for a load if the weight store refuses one without a delay.
+const DEFAULT_LOAD_DELAY_MS: Duration = Duration::from_secs(1);
 
-/// Limits of a client.
+/// Timeouts and limits of an HTTP client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HttpOptions {
-    /// Longest time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_ms: Duration,
-    /// Longest time to wait for an answer, and between its parts.
+    /// Timeout for the head of an answer, and for each further part of it.
     pub answer_ms: Duration,
-    /// Largest answer.
+    /// Maximum size of an answer.
     pub body_limit_bytes: usize,
 }
 
@@ -58,51 +58,51 @@
     }
 }
 
-/// Table over HTTP.
+/// HTTP client for the table.
 #[derive(Debug, Clone)]
-pub struct HttpTable(Service);
+pub struct HttpTable(ServiceClient);
 
-/// Object store over HTTP.
+/// HTTP client for the object store.
 #[derive(Debug, Clone)]
-pub struct HttpObjectStore(Service);
+pub struct HttpObjectStore(ServiceClient);
 
-/// Weight store over HTTP.
+/// HTTP client for the weight store.
 #[derive(Debug, Clone)]
-pub struct HttpWeightStore(Service);
+pub struct HttpWeightStore(ServiceClient);
 
-/// Host list over HTTP.
+/// HTTP client for the host list.
 #[derive(Debug, Clone)]
-pub struct HttpHostList(Service);
+pub struct HttpHostList(ServiceClient);
 
 impl HttpTable {
-    /// A client of the table at an address.
+    /// Creates a client for the table at `address`.
     #[must_use]
     pub fn new(address: SocketAddr, options: HttpOptions) -> Self {
-        Self(Service::new(address, options))
+        Self(ServiceClient::new(address, options))
     }
 }
 
 impl HttpObjectStore {
-    /// A client of the object store at an address.
+    /// Creates a client for the object store at `address`.
     #[must_use]
     pub fn new(address: SocketAddr, options: HttpOptions) -> Self {
-        Self(Service::new(address, options))
+        Self(ServiceClient::new(address, options))
     }
 }
 
 impl HttpWeightStore {
-    /// A client of the weight store at an address.
+    /// Creates a client for the weight store at `address`.
     #[must_use]
     pub fn new(address: SocketAddr, options: HttpOptions) -> Self {
-        Self(Service::new(address, options))
+        Self(ServiceClient::new(address, options))
     }
 }
 
 impl HttpHostList {
-    /// A client of the host list at an address.
+    /// Creates a client for the host list at `address`.
     #[must_use]
     pub fn new(address: SocketAddr, options: HttpOptions) -> Self {
-        Self(Service::new(address, options))
+        Self(ServiceClient::new(address, options))
     }
 }
 
@@ -113,7 +113,7 @@
                 .map_err(|error| StoreError::Unavailable(error.to_string()))?;
             let response = self
                 .0
-                .send(Method::Post, "/table", Some((JSON, body)))
+                .send(Method::Post, "/table", Some((TABLE_MEDIA_TYPE, body)))
                 .await?;
             decode(&expect_success(response)?)
         })
@@ -126,7 +126,7 @@
             let path = object_path(key);
             let response = self
                 .0
-                .send(Method::Put, &path, Some((BYTES, bytes)))
+                .send(Method::Put, &path, Some((OBJECT_MEDIA_TYPE, bytes)))
                 .await?;
             expect_success(response).map(drop)
         })
@@ -160,7 +160,11 @@
         version: &'a str,
     ) -> StoreFuture<'a, Option<Duration>> {
         Box::pin(async move {
-            let path = format!("/weights/{}/{}", segment(model), segment(version));
+            let path = format!(
+                "/weights/{}/{}",
+                encode_segment(model),
+                encode_segment(version)
+            );
             let response = self.0.send(Method::Post, &path, None).await?;
             if response.status == StatusCode::TooManyRequests {
                 return Ok(Some(retry_after(&response)));
@@ -179,13 +183,13 @@
     }
 }
 
-/// Connection pool of one service.
+/// HTTP client with the connection pool of one service.
 #[derive(Debug, Clone)]
-struct Service {
+struct ServiceClient {
     client: Client,
 }
 
-impl Service {
+impl ServiceClient {
     fn new(address: SocketAddr, options: HttpOptions) -> Self {
         let limits = ClientLimits {
             connect_ms: options.connect_ms,
@@ -221,8 +225,8 @@
     }
 }
 
-/// Body of a successful answer. `503` and `429` mean that the call was refused; after any other
-/// server error it may have taken effect.
+/// Returns the body of a successful answer. Status 503 and 429 mean that the call was refused and
+/// had no effect; after any other server error it may have taken effect.
 fn expect_success(response: WholeResponse) -> Result<Vec<u8>, StoreError> {
     let status = response.status;
     if status.is_success() {
@@ -230,8 +234,8 @@
     }
     let detail = || {
         let body = String::from_utf8_lossy(&response.body);
-        let start: String = body.chars().take(200).collect();
-        format!("status {status}: {start}")
+        let excerpt: String = body.chars().take(200).collect();
+        format!("status {status}: {excerpt}")
     };
     Err(match status {
         StatusCode::TooManyRequests => StoreError::RateLimited,
@@ -245,7 +249,7 @@
     serde_json::from_slice(body).map_err(|error| StoreError::Malformed(error.to_string()))
 }
 
-/// Time to wait from the problem document, which has milliseconds, or from `Retry-After`.
+/// Delay from the problem document, which gives milliseconds, or else from `Retry-After`.
 fn retry_after(response: &WholeResponse) -> Duration {
     let from_body = serde_json::from_slice::<Problem>(&response.body)
         .ok()
@@ -255,13 +259,15 @@
         let seconds = response.headers.get("retry-after")?.as_str().parse().ok()?;
         Some(Duration::from_secs(seconds))
     };
-    from_body.or_else(from_head).unwrap_or(WEIGHT_WAIT_MS)
+    from_body
+        .or_else(from_head)
+        .unwrap_or(DEFAULT_LOAD_DELAY_MS)
 }
 
 fn object_path(key: &str) -> String {
-    format!("/objects/{}", segment(key))
+    format!("/objects/{}", encode_segment(key))
 }
 
-fn segment(text: &str) -> String {
-    utf8_percent_encode(text, SEGMENT).to_string()
+fn encode_segment(text: &str) -> String {
+    utf8_percent_encode(text, PATH_SEGMENT).to_string()
 }
--- a/components/store/src/error.rs
+++ b/components/store/src/error.rs
@@ -1,27 +1,27 @@
-//! Errors of the platform's services.
+//! Errors of calls to the external services.
 
 use std::fmt;
 
-/// A call that gave no usable answer.
+/// Reason why a call got no valid answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// The call never reached the service, or the service refused it: nothing happened.
+    /// The call did not reach the service, or the service refused it; it had no effect.
     Unavailable(String),
-    /// The answer is lost: a write may or may not have taken effect.
+    /// The service did not answer; a write may have taken effect or not.
     Unanswered(String),
-    /// The shared rate budget is spent.
+    /// The wait for the process's rate limit would be too long; the call was not sent.
     RateLimited,
-    /// The service answered something that this version does not understand.
+    /// The answer cannot be decoded or is not valid for the call.
     Malformed(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unavailable(detail) => write!(f, "platform unavailable: {detail}"),
-            Self::Unanswered(detail) => write!(f, "platform did not answer: {detail}"),
-            Self::RateLimited => f.write_str("rate budget for the platform is spent"),
-            Self::Malformed(detail) => write!(f, "platform answer not understood: {detail}"),
+            Self::Unavailable(detail) => write!(f, "platform service unavailable: {detail}"),
+            Self::Unanswered(detail) => write!(f, "platform service did not answer: {detail}"),
+            Self::RateLimited => f.write_str("rate limit for the platform table exceeded"),
+            Self::Malformed(detail) => write!(f, "invalid platform answer: {detail}"),
         }
     }
 }
--- a/components/store/src/guarded.rs
+++ b/components/store/src/guarded.rs
@@ -1,4 +1,5 @@
-//! Wrapper around a table: rate budget, backoff with jitter, and read-back of lost replies.
+//! Table wrapper that adds a rate limit, retries with jittered backoff, and resolution of commits
+//! whose reply was lost.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,44 +23,45 @@
 use crate::table::Transaction;
 use crate::timer::Timer;
 
-/// How long and how often a call is retried.
+/// Backoff and timeout of retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryOptions {
-    /// Upper bound of the first pause; each pause is drawn between half of its bound and the
-    /// bound, so that processes do not retry in step.
-    pub first_pause_ms: Duration,
-    /// Largest bound; bounds double up to it.
-    pub last_pause_ms: Duration,
-    /// Time after which no further try is made.
+    /// Upper bound of the first delay. Each delay is drawn uniformly between half of its bound and
+    /// the bound, so that processes do not retry at the same time.
+    pub initial_backoff_ms: Duration,
+    /// Limit of the bound, which doubles with every retry.
+    pub max_backoff_ms: Duration,
+    /// Time after the start of a call at which retries end.
     pub give_up_ms: Duration,
 }
 
 impl Default for RetryOptions {
     fn default() -> Self {
         Self {
-            first_pause_ms: Duration::from_millis(50),
-            last_pause_ms: Duration::from_secs(2),
+            initial_backoff_ms: Duration::from_millis(50),
+            max_backoff_ms: Duration::from_secs(2),
             give_up_ms: Duration::from_secs(10),
         }
     }
 }
 
-/// Clock, delays and budget that a guarded table uses.
+/// Clock, timer and rate limit of a guarded table.
 #[derive(Clone)]
 pub struct GuardContext {
-    /// Monotonic time.
+    /// Clock for the timeout and the rate limit.
     pub clock: Rc<dyn Clock>,
-    /// Delays.
+    /// Timer for backoff delays and waits for the rate limit.
     pub timer: Rc<dyn Timer>,
-    /// Budget, shared by all guarded tables of the process.
+    /// Rate limit, shared by all guarded tables of the process.
     pub budget: Rc<RateBudget>,
 }
 
-/// A table whose calls are retried, limited in rate, and resolved when their reply is lost.
+/// Table that retries calls, limits their rate, and determines the outcome of commits whose reply
+/// was lost.
 ///
-/// A commit ends in one of four ways. `Committed` and `Conflict` are certain. `Unavailable`
-/// and `RateLimited` mean that no try can have reached the table. `Unanswered` means that the
-/// give-up time passed with the outcome unknown: the write may be done, now or later.
+/// `Committed` and `Conflict` are definite outcomes of a commit. `Unavailable` and `RateLimited`
+/// mean that no attempt reached the table. `Unanswered` means that the outcome was still unknown
+/// when retries ended: the write may have taken effect, or may still take effect later.
 pub struct Guarded {
     inner: Rc<dyn Table>,
     options: RetryOptions,
@@ -68,7 +70,7 @@
 }
 
 impl Guarded {
-    /// Wraps a table; `seed` feeds the jitter.
+    /// Wraps a table; `seed` initialises the random jitter.
     #[must_use]
     pub fn new(
         inner: Rc<dyn Table>,
@@ -85,27 +87,27 @@
     }
 
     async fn read(&self, request: TableRequest) -> Result<TableReply, StoreError> {
-        let mut retries = self.retries();
+        let mut retries = self.start_retries();
         loop {
-            match self.try_once(request.clone()).await {
+            match self.call_once(request.clone()).await {
                 Ok(reply) => return Ok(reply),
-                Err(error) => retries.pause(self, error).await?,
+                Err(error) => retries.wait(self, error).await?,
             }
         }
     }
 
     async fn commit(&self, transaction: Transaction) -> Result<TableReply, StoreError> {
-        let mut retries = self.retries();
-        let mut in_doubt = false;
+        let mut retries = self.start_retries();
+        let mut is_outcome_unknown = false;
         loop {
             let result = self
-                .try_once(TableRequest::Commit(transaction.clone()))
+                .call_once(TableRequest::Commit(transaction.clone()))
                 .await;
             let error = match result {
-                Ok(TableReply::Commit(CommitOutcome::Conflict(rows))) if in_doubt => {
-                    // The conflict may be with an earlier try of this same transaction.
-                    let proof = self.find_proof(&transaction, &mut retries).await?;
-                    let outcome = proof.unwrap_or(CommitOutcome::Conflict(rows));
+                Ok(TableReply::Commit(CommitOutcome::Conflict(rows))) if is_outcome_unknown => {
+                    // The conflict may be caused by an earlier attempt of the same transaction.
+                    let committed = self.read_back(&transaction, &mut retries).await?;
+                    let outcome = committed.unwrap_or(CommitOutcome::Conflict(rows));
                     return Ok(TableReply::Commit(outcome));
                 }
                 Ok(reply @ TableReply::Commit(_)) => return Ok(reply),
@@ -114,40 +116,45 @@
                 }
                 Err(error) => error,
             };
-            if is_doubtful(&error) {
+            if may_have_taken_effect(&error) {
                 if !has_proof(&transaction) {
                     return Err(unanswered(error));
                 }
-                in_doubt = true;
-                if let Some(outcome) = self.find_proof(&transaction, &mut retries).await? {
+                is_outcome_unknown = true;
+                if let Some(outcome) = self.read_back(&transaction, &mut retries).await? {
                     return Ok(TableReply::Commit(outcome));
                 }
             }
-            let error = if in_doubt { unanswered(error) } else { error };
-            retries.pause(self, error).await?;
+            let error = if is_outcome_unknown {
+                unanswered(error)
+            } else {
+                error
+            };
+            retries.wait(self, error).await?;
         }
     }
 
-    /// Reads the rows of a transaction in doubt. `None` means that it has not taken effect yet.
-    async fn find_proof(
+    /// Reads the rows of a transaction whose reply was lost, to determine its outcome. Returns
+    /// `None` if it has not taken effect so far.
+    async fn read_back(
         &self,
         transaction: &Transaction,
         retries: &mut Retries,
     ) -> Result<Option<CommitOutcome>, StoreError> {
         let keys: Vec<String> = transaction.puts.iter().map(|put| put.key.clone()).collect();
         loop {
-            let error = match self.try_once(TableRequest::Read(keys.clone())).await {
-                Ok(TableReply::Rows(rows)) => return Ok(proven(transaction, &rows)),
+            let error = match self.call_once(TableRequest::Read(keys.clone())).await {
+                Ok(TableReply::Rows(rows)) => return Ok(outcome_from_rows(transaction, &rows)),
                 Ok(TableReply::Commit(_)) => {
                     StoreError::Malformed("commit outcome in answer to a read".to_owned())
                 }
                 Err(error) => error,
             };
-            retries.pause(self, unanswered(error)).await?;
+            retries.wait(self, unanswered(error)).await?;
         }
     }
 
-    async fn try_once(&self, request: TableRequest) -> Result<TableReply, StoreError> {
+    async fn call_once(&self, request: TableRequest) -> Result<TableReply, StoreError> {
         let now = self.context.clock.now();
         let wait = self
             .context
@@ -160,10 +167,10 @@
         self.inner.call(request).await
     }
 
-    fn retries(&self) -> Retries {
+    fn start_retries(&self) -> Retries {
         Retries {
-            until: self.context.clock.now() + self.options.give_up_ms,
-            bound_ms: self.options.first_pause_ms,
+            deadline: self.context.clock.now() + self.options.give_up_ms,
+            backoff_ms: self.options.initial_backoff_ms,
         }
     }
 }
@@ -177,28 +184,28 @@
     }
 }
 
-/// Pauses between the tries of one call.
+/// Backoff between the attempts of one call.
 struct Retries {
-    until: Instant,
-    bound_ms: Duration,
+    deadline: Instant,
+    backoff_ms: Duration,
 }
 
 impl Retries {
-    /// Waits before the next try, or gives up with `error`.
-    async fn pause(&mut self, guard: &Guarded, error: StoreError) -> Result<(), StoreError> {
-        let share = guard.random.borrow_mut().random_range(0.5..=1.0);
-        let pause = self.bound_ms.mul_f64(share);
-        if guard.context.clock.now() + pause >= self.until {
+    /// Waits before the next attempt, or returns `error` if that would exceed the deadline.
+    async fn wait(&mut self, guard: &Guarded, error: StoreError) -> Result<(), StoreError> {
+        let fraction = guard.random.borrow_mut().random_range(0.5..=1.0);
+        let delay = self.backoff_ms.mul_f64(fraction);
+        if guard.context.clock.now() + delay >= self.deadline {
             return Err(error);
         }
-        self.bound_ms = (self.bound_ms * 2).min(guard.options.last_pause_ms);
-        guard.context.timer.sleep(pause).await;
+        self.backoff_ms = (self.backoff_ms * 2).min(guard.options.max_backoff_ms);
+        guard.context.timer.sleep(delay).await;
         Ok(())
     }
 }
 
-/// Whether a commit that ended with this error may have taken effect.
-fn is_doubtful(error: &StoreError) -> bool {
+/// Whether a commit that failed with this error may have taken effect.
+fn may_have_taken_effect(error: &StoreError) -> bool {
     matches!(error, StoreError::Unanswered(_) | StoreError::Malformed(_))
 }
 
@@ -209,7 +216,7 @@
     }
 }
 
-/// Whether a lost reply to this transaction can be resolved.
+/// Whether the outcome of the transaction can be determined if its reply is lost.
 fn has_proof(transaction: &Transaction) -> bool {
     transaction
         .puts
@@ -217,9 +224,10 @@
         .any(|put| put.key == transaction.proof && put.value.is_some())
 }
 
-/// Outcome of a transaction whose proof row has its value. Rows that were overwritten since
-/// have version 0 in the outcome, which makes a later check on them fail safely.
-fn proven(transaction: &Transaction, rows: &[Row]) -> Option<CommitOutcome> {
+/// Outcome of a transaction, determined from the current rows: it has taken effect if its proof row
+/// has the value that it wrote. Rows that were overwritten since get version 0 in the outcome, so
+/// that a later check of their version fails.
+fn outcome_from_rows(transaction: &Transaction, rows: &[Row]) -> Option<CommitOutcome> {
     let version = |put: &Put| {
         rows.iter()
             .find(|row| row.key == put.key && Some(&row.value) == put.value.as_ref())
--- a/components/store/src/hosts.rs
+++ b/components/store/src/hosts.rs
@@ -1,4 +1,5 @@
-//! The platform's list of hosts. It lags, and may be wrong in both directions for a while.
+//! Host list interface. The platform's list lags behind: for some time it may contain hosts that
+//! have stopped and lack hosts that have started.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,23 +11,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// Runs.
+    /// The host is running.
     Live,
-    /// Will be stopped.
+    /// The host is going to be stopped.
     Leaving,
 }
 
-/// One host of the list.
+/// Entry of the host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
     /// Name of the host.
     pub host: HostName,
-    /// Its state when the list was made.
+    /// State when the list was created.
     pub state: HostState,
 }
 
-/// The host list service.
+/// Host list service.
 pub trait HostList {
-    /// The whole list as of some seconds ago.
+    /// Reads the complete list, which may be some seconds old.
     fn hosts(&self) -> StoreFuture<'_, Vec<HostEntry>>;
 }
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -1,8 +1,9 @@
-//! Services that keep what must last: table, object store, weight store and host list.
+//! Clients for the external services: table, object store, weight store and host list.
 //!
-//! Everything that must be agreed or must last goes through the table by conditional
-//! transactions. Each service is a trait; the HTTP clients, the implementations in memory and
-//! the wrapper for budget, backoff and read-back all implement the same trait.
+//! State that must be durable or agreed between processes is stored in the table with conditional
+//! transactions. Each service has a trait with an HTTP client and an in-memory implementation.
+//! [`Guarded`] wraps any table to limit the rate of calls, retry them, and determine the outcome of
+//! commits whose reply was lost.
 
 pub mod budget;
 pub mod client;
@@ -55,5 +56,5 @@
 pub use timer::Timer;
 pub use weights::WeightStore;
 
-/// Future of a call to the platform; every process runs on one thread.
+/// Future of a call to a service. It is not `Send`, because every process is single-threaded.
 pub type StoreFuture<'a, T> = std::pin::Pin<Box<dyn Future<Output = Result<T, StoreError>> + 'a>>;
--- a/components/store/src/memory.rs
+++ b/components/store/src/memory.rs
@@ -1,4 +1,4 @@
-//! Table in memory, with the faults that a real one has.
+//! In-memory table with fault injection for tests.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -16,41 +16,42 @@
 use crate::table::TableRequest;
 use crate::timer::Timer;
 
-/// What goes wrong with one call.
+/// Fault that is injected into a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CallFault {
-    /// Nothing.
+    /// The call succeeds.
     #[default]
     None,
-    /// The call does not reach the table.
+    /// The call does not reach the table, and the caller is told so.
     Unavailable,
-    /// The call is lost on the way, and the caller cannot tell.
+    /// The call is lost before it reaches the table, and the caller does not know its outcome.
     LostRequest,
-    /// The call takes effect and its reply is lost.
+    /// The call takes effect, but its reply is lost.
     LostReply,
-    /// The reply is lost, and the call takes effect only after this many further calls.
+    /// The reply is lost, and the call only takes effect after this many further calls.
     LateEffect(u32),
 }
 
-/// Table in memory.
+/// In-memory table with fault injection.
 #[derive(Default)]
 pub struct MemoryTable {
     rows: RefCell<Rows>,
-    outage: Cell<bool>,
+    is_unavailable: Cell<bool>,
     delay_ms: Cell<Duration>,
     timer: Option<Rc<dyn Timer>>,
-    script: RefCell<VecDeque<CallFault>>,
-    late: RefCell<Vec<(u32, TableRequest)>>,
+    scripted_faults: RefCell<VecDeque<CallFault>>,
+    /// Requests that take effect late, each with the number of calls until then.
+    late_requests: RefCell<Vec<(u32, TableRequest)>>,
 }
 
 impl MemoryTable {
-    /// An empty table without faults.
+    /// Creates an empty table without faults.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An empty table whose delays are waited for with `timer`.
+    /// Creates an empty table that uses `timer` for delays.
     #[must_use]
     pub fn with_timer(timer: Rc<dyn Timer>) -> Self {
         Self {
@@ -59,63 +60,64 @@
         }
     }
 
-    /// Starts or ends an outage; during one every call is `Unavailable`.
-    pub fn set_outage(&self, outage: bool) {
-        self.outage.set(outage);
+    /// Starts or ends an outage, during which every call returns `Unavailable`.
+    pub fn set_outage(&self, is_unavailable: bool) {
+        self.is_unavailable.set(is_unavailable);
     }
 
-    /// Delays every call from now on; needs a timer.
+    /// Delays every call from now on. Has no effect on a table without a timer.
     pub fn set_delay(&self, delay_ms: Duration) {
         self.delay_ms.set(delay_ms);
     }
 
-    /// Loses the replies of the next `count` calls after they took effect.
+    /// Adds [`CallFault::LostReply`] for `count` calls.
     pub fn lose_replies(&self, count: usize) {
         self.script(std::iter::repeat_n(CallFault::LostReply, count));
     }
 
-    /// Adds faults for the next calls, one each; calls after the last one succeed.
+    /// Adds faults for the next calls, one per call. Calls after the last fault succeed.
     pub fn script(&self, faults: impl IntoIterator<Item = CallFault>) {
-        self.script.borrow_mut().extend(faults);
+        self.scripted_faults.borrow_mut().extend(faults);
     }
 
-    /// Forgets scripted faults.
+    /// Removes faults that were added and not yet injected.
     pub fn clear_script(&self) {
-        self.script.borrow_mut().clear();
+        self.scripted_faults.borrow_mut().clear();
     }
 
-    /// Applies calls that were to take effect late.
+    /// Applies all calls that are still to take effect late.
     pub fn flush_late(&self) {
-        let late = std::mem::take(&mut *self.late.borrow_mut());
-        for (_, request) in late {
+        let late_requests = std::mem::take(&mut *self.late_requests.borrow_mut());
+        for (_, request) in late_requests {
             self.rows.borrow_mut().apply(&request);
         }
     }
 
-    /// Reads a row without any fault.
+    /// Reads a row without injecting a fault.
     #[must_use]
     pub fn row(&self, key: &str) -> Option<Row> {
         self.rows.borrow().get(key)
     }
 
-    /// Makes a call without any fault.
+    /// Executes a call without injecting a fault.
     pub fn apply(&self, request: &TableRequest) -> TableReply {
         self.rows.borrow_mut().apply(request)
     }
 
-    /// Calls carried out so far.
+    /// Numbers of calls executed so far.
     #[must_use]
     pub fn counters(&self) -> TableCounters {
         self.rows.borrow().counters()
     }
 
-    fn run_due(&self) {
+    fn apply_due_requests(&self) {
         let due: Vec<TableRequest> = {
-            let mut late = self.late.borrow_mut();
-            for (calls, _) in late.iter_mut() {
+            let mut late_requests = self.late_requests.borrow_mut();
+            for (calls, _) in late_requests.iter_mut() {
                 *calls = calls.saturating_sub(1);
             }
-            late.extract_if(.., |(calls, _)| *calls == 0)
+            late_requests
+                .extract_if(.., |(calls, _)| *calls == 0)
                 .map(|(_, request)| request)
                 .collect()
         };
@@ -124,15 +126,19 @@
         }
     }
 
-    async fn answer(&self, request: TableRequest) -> Result<TableReply, StoreError> {
+    async fn call_with_faults(&self, request: TableRequest) -> Result<TableReply, StoreError> {
         if let (Some(timer), false) = (&self.timer, self.delay_ms.get().is_zero()) {
             timer.sleep(self.delay_ms.get()).await;
         }
-        self.run_due();
-        if self.outage.get() {
+        self.apply_due_requests();
+        if self.is_unavailable.get() {
             return Err(StoreError::Unavailable("outage".to_owned()));
         }
-        let fault = self.script.borrow_mut().pop_front().unwrap_or_default();
+        let fault = self
+            .scripted_faults
+            .borrow_mut()
+            .pop_front()
+            .unwrap_or_default();
         let lost = || Err(StoreError::Unanswered("reply lost".to_owned()));
         match fault {
             CallFault::None => Ok(self.apply(&request)),
@@ -143,7 +149,9 @@
                 lost()
             }
             CallFault::LateEffect(calls) => {
-                self.late.borrow_mut().push((calls.max(1), request));
+                self.late_requests
+                    .borrow_mut()
+                    .push((calls.max(1), request));
                 lost()
             }
         }
@@ -152,6 +160,6 @@
 
 impl Table for MemoryTable {
     fn call(&self, request: TableRequest) -> StoreFuture<'_, TableReply> {
-        Box::pin(self.answer(request))
+        Box::pin(self.call_with_faults(request))
     }
 }
--- a/components/store/src/memory_services.rs
+++ b/components/store/src/memory_services.rs
@@ -1,4 +1,4 @@
-//! Object store, weight store and host list in memory.
+//! In-memory object store, weight store and host list for tests.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -16,30 +16,30 @@
 use crate::objects::ObjectStore;
 use crate::weights::WeightStore;
 
-/// Object store in memory.
+/// In-memory object store.
 #[derive(Debug, Default)]
 pub struct MemoryObjectStore {
     objects: RefCell<BTreeMap<String, Vec<u8>>>,
-    outage: Cell<bool>,
+    is_unavailable: Cell<bool>,
 }
 
 impl MemoryObjectStore {
-    /// An empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Starts or ends an outage.
-    pub fn set_outage(&self, outage: bool) {
-        self.outage.set(outage);
+    /// Starts or ends an outage, during which every call returns `Unavailable`.
+    pub fn set_outage(&self, is_unavailable: bool) {
+        self.is_unavailable.set(is_unavailable);
     }
 
-    fn with<T>(
+    fn access<T>(
         &self,
         call: impl FnOnce(&mut BTreeMap<String, Vec<u8>>) -> T,
     ) -> Result<T, StoreError> {
-        if self.outage.get() {
+        if self.is_unavailable.get() {
             return Err(StoreError::Unavailable("outage".to_owned()));
         }
         Ok(call(&mut self.objects.borrow_mut()))
@@ -49,40 +49,40 @@
 impl ObjectStore for MemoryObjectStore {
     fn put<'a>(&'a self, key: &'a str, bytes: Vec<u8>) -> StoreFuture<'a, ()> {
         Box::pin(async move {
-            self.with(|objects| {
+            self.access(|objects| {
                 objects.insert(key.to_owned(), bytes);
             })
         })
     }
 
     fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<Vec<u8>>> {
-        Box::pin(async move { self.with(|objects| objects.get(key).cloned()) })
+        Box::pin(async move { self.access(|objects| objects.get(key).cloned()) })
     }
 
     fn delete<'a>(&'a self, key: &'a str) -> StoreFuture<'a, ()> {
         Box::pin(async move {
-            self.with(|objects| {
+            self.access(|objects| {
                 objects.remove(key);
             })
         })
     }
 }
 
-/// Weight store that grants one load per interval.
+/// In-memory weight store that grants one load per interval.
 pub struct MemoryWeightStore {
     clock: Rc<dyn Clock>,
     interval_ms: Duration,
-    free_at: Cell<Option<Instant>>,
+    next_grant_at: Cell<Option<Instant>>,
 }
 
 impl MemoryWeightStore {
-    /// A store that grants one load every `interval_ms`.
+    /// Creates a store that grants one load every `interval_ms`.
     #[must_use]
     pub fn new(clock: Rc<dyn Clock>, interval_ms: Duration) -> Self {
         Self {
             clock,
             interval_ms,
-            free_at: Cell::new(None),
+            next_grant_at: Cell::new(None),
         }
     }
 }
@@ -95,26 +95,26 @@
     ) -> StoreFuture<'a, Option<Duration>> {
         let now = self.clock.now();
         let wait = self
-            .free_at
+            .next_grant_at
             .get()
             .map(|at| at.saturating_duration_since(now))
             .filter(|wait| !wait.is_zero());
         if wait.is_none() {
-            self.free_at.set(Some(now + self.interval_ms));
+            self.next_grant_at.set(Some(now + self.interval_ms));
         }
         Box::pin(async move { Ok(wait) })
     }
 }
 
-/// Host list that says what it is told.
+/// In-memory host list.
 #[derive(Debug, Default)]
 pub struct MemoryHostList {
     hosts: RefCell<Vec<HostEntry>>,
-    outage: Cell<bool>,
+    is_unavailable: Cell<bool>,
 }
 
 impl MemoryHostList {
-    /// An empty list.
+    /// Creates an empty list.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -125,16 +125,16 @@
         *self.hosts.borrow_mut() = hosts;
     }
 
-    /// Starts or ends an outage.
-    pub fn set_outage(&self, outage: bool) {
-        self.outage.set(outage);
+    /// Starts or ends an outage, during which every call returns `Unavailable`.
+    pub fn set_outage(&self, is_unavailable: bool) {
+        self.is_unavailable.set(is_unavailable);
     }
 }
 
 impl HostList for MemoryHostList {
     fn hosts(&self) -> StoreFuture<'_, Vec<HostEntry>> {
         Box::pin(async move {
-            if self.outage.get() {
+            if self.is_unavailable.get() {
                 return Err(StoreError::Unavailable("outage".to_owned()));
             }
             Ok(self.hosts.borrow().clone())
--- a/components/store/src/objects.rs
+++ b/components/store/src/objects.rs
@@ -1,57 +1,57 @@
-//! The object store, for answers too large for a table row.
+//! Object store interface, for answers that are too large for a table row.
 
 use crate::StoreError;
 use crate::StoreFuture;
 
-/// The object store service.
+/// Object store service.
 pub trait ObjectStore {
-    /// Stores an object under a key that is never reused for other content.
+    /// Stores an object. A key must not be reused for different content.
     fn put<'a>(&'a self, key: &'a str, bytes: Vec<u8>) -> StoreFuture<'a, ()>;
-    /// Reads an object; `None` if there is none.
+    /// Reads an object; `None` if it does not exist.
     fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<Vec<u8>>>;
-    /// Deletes an object, if there is one.
+    /// Deletes an object; succeeds if it does not exist.
     fn delete<'a>(&'a self, key: &'a str) -> StoreFuture<'a, ()>;
 }
 
-/// One call to the object store, as state machines ask for it.
+/// Call to the object store, as requested by a state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ObjectRequest {
-    /// Stores an object. The same key always comes with the same bytes, so a call whose reply is
-    /// lost may be repeated.
+    /// Stores an object. A key is always written with the same content, so a call whose reply was
+    /// lost can be retried.
     Put {
-        /// Key.
+        /// Key of the object.
         key: String,
-        /// Content.
+        /// Content of the object.
         bytes: Vec<u8>,
     },
     /// Reads an object.
     Get {
-        /// Key.
+        /// Key of the object.
         key: String,
     },
-    /// Deletes an object, if there is one.
+    /// Deletes an object; succeeds if it does not exist.
     Delete {
-        /// Key.
+        /// Key of the object.
         key: String,
     },
 }
 
-/// Answer to an `ObjectRequest`.
+/// Result of an [`ObjectRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ObjectReply {
-    /// The object is stored.
+    /// The object was stored.
     Stored,
-    /// Content of the object; `None` if there is none.
+    /// Content of the object; `None` if it does not exist.
     Content(Option<Vec<u8>>),
-    /// There is no such object any more.
+    /// The object was deleted or did not exist.
     Deleted,
 }
 
-/// Makes one call.
+/// Executes a call.
 ///
 /// # Errors
 ///
-/// The store does not answer, or refuses the call.
+/// Returns an error if the store does not answer or refuses the call.
 pub async fn call(
     store: &dyn ObjectStore,
     request: ObjectRequest,
--- a/components/store/src/rows.rs
+++ b/components/store/src/rows.rs
@@ -1,4 +1,4 @@
-//! Contents of a table in memory: the semantics that clients rely on, without I/O or faults.
+//! In-memory contents of a table: the semantics that clients rely on, without I/O or faults.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -13,21 +13,21 @@
 use crate::table::TableRequest;
 use crate::table::Transaction;
 
-/// Calls that a table has carried out.
+/// Numbers of calls that a table has executed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableCounters {
     /// Reads and scans.
     pub reads: u64,
-    /// Transactions received, committed or not.
+    /// Transactions, committed or not.
     pub writes: u64,
-    /// Transactions committed.
+    /// Committed transactions.
     pub commits: u64,
 }
 
 /// Rows of a table.
 ///
-/// Versions come from one counter for the whole table, so that a row that is deleted and
-/// written again never repeats a version.
+/// All rows take their versions from one counter, so that a row that is deleted and written again
+/// never gets the same version twice.
 #[derive(Debug, Clone, Default)]
 pub struct Rows {
     by_key: BTreeMap<String, (RowVersion, String)>,
@@ -36,7 +36,7 @@
 }
 
 impl Rows {
-    /// Carries out one call.
+    /// Executes a call.
     pub fn apply(&mut self, request: &TableRequest) -> TableReply {
         match request {
             TableRequest::Read(keys) => {
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Calls so far.
+    /// Numbers of calls executed so far.
     #[must_use]
     pub fn counters(&self) -> TableCounters {
         self.counters
--- a/components/store/src/table.rs
+++ b/components/store/src/table.rs
@@ -1,95 +1,96 @@
-//! The transactional table: rows with versions, and conditional transactions over a few rows.
+//! Table interface: versioned rows, and conditional transactions over several rows.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::StoreFuture;
 
-/// Version of a row; a write gives it the next one. 0 stands for an absent row.
+/// Version of a row; changes with every write. 0 means that the row does not exist.
 pub type RowVersion = u64;
 
-/// A row as read.
+/// Row as read from the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// Key, for example `profile/radio-desk`.
     pub key: String,
-    /// Version at the time of the read.
+    /// Version when the row was read.
     pub version: RowVersion,
-    /// JSON text.
+    /// Value, as JSON text.
     pub value: String,
 }
 
-/// Condition of a transaction: the row still has this version.
+/// Condition of a transaction: the row has this version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Check {
     /// Key of the row.
     pub key: String,
-    /// Version it must have; 0 for an absent row.
+    /// Expected version; 0 if the row must not exist.
     pub version: RowVersion,
 }
 
-/// Write of one row.
+/// Write or deletion of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
     /// Key of the row.
     pub key: String,
-    /// New JSON text; `None` deletes the row.
+    /// New value, as JSON text; `None` deletes the row.
     pub value: Option<String>,
 }
 
-/// Writes that take effect together, if all checks hold.
+/// Writes that are applied atomically if all checks hold.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions.
+    /// Conditions, which must all hold.
     pub checks: Vec<Check>,
-    /// Writes.
+    /// Rows to write or delete.
     pub puts: Vec<Put>,
-    /// Key of a written row whose value is unique to this transaction and is not overwritten
-    /// by others while the writer may still ask. A lost reply is resolved by reading it back.
+    /// Key of a row that proves the commit: its value is unique to this transaction, and no other
+    /// writer overwrites it while the outcome may still be needed. If the reply is lost, reading
+    /// this row shows the outcome. Empty if there is no such row.
     pub proof: String,
 }
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommitOutcome {
-    /// All writes took effect. Lists the new version of each row put, in order.
+    /// All writes were applied. Contains the new version of each written row, in order of `puts`.
     Committed(Vec<RowVersion>),
-    /// Nothing was written. Lists the current rows of the checks that failed.
+    /// Nothing was written. Contains the current rows whose check failed.
     Conflict(Vec<Row>),
 }
 
-/// One call.
+/// Call to the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableRequest {
-    /// Reads rows by key; absent rows are left out of the answer.
+    /// Reads rows by key. The answer omits rows that do not exist.
     Read(Vec<String>),
     /// Reads rows whose key starts with `prefix` and is greater than `after`, in key order.
     Scan {
-        /// Common start of the keys.
+        /// Common prefix of the keys.
         prefix: String,
-        /// Last key already seen; empty for none.
+        /// Key after which the scan starts; empty to start at the first key.
         after: String,
-        /// Most rows to return.
+        /// Maximum number of rows to return.
         limit: usize,
     },
     /// Commits a transaction.
     Commit(Transaction),
 }
 
-/// Answer to one call.
+/// Result of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableReply {
-    /// Rows of a read or scan.
+    /// Result of a read or scan.
     Rows(Vec<Row>),
-    /// End of a commit.
+    /// Result of a commit.
     Commit(CommitOutcome),
 }
 
-/// The table service.
+/// Table service.
 pub trait Table {
-    /// Makes one call.
+    /// Executes a call.
     fn call(&self, request: TableRequest) -> StoreFuture<'_, TableReply>;
 }
--- a/components/store/src/timer.rs
+++ b/components/store/src/timer.rs
@@ -1,4 +1,4 @@
-//! Waiting, passed in as an interface so that backoff can run in virtual time.
+//! Timer interface, so that backoff can run in virtual time.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,13 +7,13 @@
 
 use types::ManualClock;
 
-/// Source of delays.
+/// Timer for delays.
 pub trait Timer {
     /// Completes after `delay_ms`.
     fn sleep(&self, delay_ms: Duration) -> Pin<Box<dyn Future<Output = ()>>>;
 }
 
-/// Delays of the operating system.
+/// Timer of the operating system.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct SystemTimer;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Moves a manual clock forward instead of waiting.
+/// Timer that advances a [`ManualClock`] instead of waiting.
 #[derive(Debug, Clone)]
 pub struct ManualTimer(pub Rc<ManualClock>);
 
--- a/components/store/src/weights.rs
+++ b/components/store/src/weights.rs
@@ -1,13 +1,14 @@
-//! The weight store. It limits the rate of loads; engines fetch the weights themselves, and an
-//! agent asks for a slot before it orders a load.
+//! Weight store interface. The weight store limits the rate of model loads: an agent reserves a
+//! load before it orders one, and the engine then fetches the weights itself.
 
 use std::time::Duration;
 
 use crate::StoreFuture;
 
-/// The weight store service.
+/// Weight store service.
 pub trait WeightStore {
-    /// Asks to load a model version now. `None` grants it; otherwise the time to wait.
+    /// Requests permission to load a model version now. Returns `None` if it is granted, or else
+    /// the time after which to ask again.
     fn reserve<'a>(&'a self, model: &'a str, version: &'a str)
     -> StoreFuture<'a, Option<Duration>>;
 }
--- a/components/store/tests/guarded.rs
+++ b/components/store/tests/guarded.rs
@@ -1,4 +1,4 @@
-//! The guarded table under outages, lost and late calls.
+//! Guarded table under outages, lost calls, lost replies and calls that take effect late.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -33,9 +33,9 @@
 const COUNTER: &str = "counter";
 
 #[derive(Debug, Clone)]
-struct Fault(CallFault);
+struct ArbitraryFault(CallFault);
 
-impl Arbitrary for Fault {
+impl Arbitrary for ArbitraryFault {
     fn arbitrary(g: &mut Gen) -> Self {
         let late = CallFault::LateEffect(u32::arbitrary(g) % 8 + 1);
         let choices = [
@@ -50,27 +50,28 @@
     }
 }
 
-/// Lets another writer change the counter during some of the pauses.
-struct MeddlingTimer {
-    clock: ManualTimer,
+/// Timer that lets another writer increment the counter during some of the delays.
+struct ConcurrentWriteTimer {
+    timer: ManualTimer,
     table: Rc<MemoryTable>,
-    meddle: RefCell<Vec<bool>>,
-    meddled: Cell<u64>,
+    /// For each delay, last one first, whether the other writer writes.
+    writes: RefCell<Vec<bool>>,
+    write_count: Cell<u64>,
 }
 
-impl Timer for MeddlingTimer {
+impl Timer for ConcurrentWriteTimer {
     fn sleep(&self, delay_ms: Duration) -> Pin<Box<dyn Future<Output = ()>>> {
-        if self.meddle.borrow_mut().pop() == Some(true) {
-            let number = self.meddled.get() + 1;
-            self.meddled.set(number);
+        if self.writes.borrow_mut().pop() == Some(true) {
+            let number = self.write_count.get() + 1;
+            self.write_count.set(number);
             let request = increment(&self.table, &format!("proof/other-{number}"));
             self.table.apply(&TableRequest::Commit(request));
         }
-        self.clock.sleep(delay_ms)
+        self.timer.sleep(delay_ms)
     }
 }
 
-/// A transaction that adds one to the counter and leaves a proof row.
+/// Transaction that increments the counter and writes a proof row.
 fn increment(table: &MemoryTable, proof: &str) -> Transaction {
     let row = table.row(COUNTER);
     let value: u64 = row.as_ref().map_or(0, |row| row.value.parse().unwrap());
@@ -91,20 +92,20 @@
     }
 }
 
-struct World {
+struct Fixture {
     clock: Rc<ManualClock>,
     table: Rc<MemoryTable>,
     guarded: Guarded,
 }
 
-fn world(meddle: Vec<bool>, budget: &BudgetOptions) -> World {
+fn fixture(concurrent_writes: Vec<bool>, budget: &BudgetOptions) -> Fixture {
     let clock = Rc::new(ManualClock::new());
     let table = Rc::new(MemoryTable::new());
-    let timer = MeddlingTimer {
-        clock: ManualTimer(Rc::clone(&clock)),
+    let timer = ConcurrentWriteTimer {
+        timer: ManualTimer(Rc::clone(&clock)),
         table: Rc::clone(&table),
-        meddle: RefCell::new(meddle),
-        meddled: Cell::new(0),
+        writes: RefCell::new(concurrent_writes),
+        write_count: Cell::new(0),
     };
     let context = GuardContext {
         clock: Rc::clone(&clock) as Rc<dyn Clock>,
@@ -112,7 +113,7 @@
         budget: Rc::new(RateBudget::new(budget, clock.now())),
     };
     let inner = Rc::clone(&table) as Rc<dyn Table>;
-    World {
+    Fixture {
         clock,
         table,
         guarded: Guarded::new(inner, RetryOptions::default(), context, 3),
@@ -120,95 +121,101 @@
 }
 
 quickcheck! {
-    /// Guards against a committed write that is reported as failed, a failed one that is
-    /// reported as committed, and a write that takes effect twice.
-    fn outcome_of_commit_is_true(calls: Vec<Vec<Fault>>, meddle: Vec<bool>) -> bool {
-        let world = world(meddle, &BudgetOptions::default());
+    /// Guards against a commit that is reported as failed, a failed one that is reported as
+    /// committed, and one that takes effect twice.
+    fn reported_outcome_of_a_commit_is_correct(
+        calls: Vec<Vec<ArbitraryFault>>,
+        writes: Vec<bool>
+    ) -> bool {
+        let fixture = fixture(writes, &BudgetOptions::default());
         let mut outcomes = Vec::new();
         for (number, faults) in calls.iter().enumerate() {
             let proof = format!("proof/{number}");
-            let request = TableRequest::Commit(increment(&world.table, &proof));
-            world.table.clear_script();
-            world.table.script(faults.iter().map(|fault| fault.0));
-            outcomes.push((proof, smol::block_on(world.guarded.call(request))));
+            let request = TableRequest::Commit(increment(&fixture.table, &proof));
+            fixture.table.clear_script();
+            fixture.table.script(faults.iter().map(|fault| fault.0));
+            outcomes.push((proof, smol::block_on(fixture.guarded.call(request))));
         }
-        world.table.flush_late();
-        let outcomes_true = outcomes.iter().all(|(proof, outcome)| {
-            let done = world.table.row(proof).is_some();
+        fixture.table.flush_late();
+        let outcomes_are_correct = outcomes.iter().all(|(proof, outcome)| {
+            let is_committed = fixture.table.row(proof).is_some();
             match outcome {
                 Ok(TableReply::Commit(CommitOutcome::Committed(versions))) => {
-                    let row = world.table.row(proof);
-                    done && versions.len() == 2 && row.is_some_and(|row| row.version == versions[1])
+                    let row = fixture.table.row(proof);
+                    is_committed
+                        && versions.len() == 2
+                        && row.is_some_and(|row| row.version == versions[1])
                 }
                 Ok(TableReply::Commit(CommitOutcome::Conflict(_)))
-                | Err(StoreError::Unavailable(_) | StoreError::RateLimited) => !done,
+                | Err(StoreError::Unavailable(_) | StoreError::RateLimited) => !is_committed,
                 Err(StoreError::Unanswered(_)) => true,
                 _ => false,
             }
         });
-        let proofs = world.table.apply(&TableRequest::Scan {
+        let proofs = fixture.table.apply(&TableRequest::Scan {
             prefix: "proof/".to_owned(),
             after: String::new(),
             limit: usize::MAX,
         });
         let TableReply::Rows(proofs) = proofs else { return false };
-        let counted = world.table.row(COUNTER).map_or(0, |row| row.value.parse().unwrap());
-        outcomes_true && proofs.len() == counted
+        let count = fixture.table.row(COUNTER).map_or(0, |row| row.value.parse().unwrap());
+        outcomes_are_correct && proofs.len() == count
     }
 
-    /// Guards against a process that takes more than its share of the table in any window.
-    fn calls_stay_within_the_budget(gaps_ms: Vec<u8>, window: u8) -> bool {
+    /// Guards against a process that exceeds its rate limit over any number of calls.
+    fn calls_stay_within_the_rate_limit(gaps_ms: Vec<u8>, window: u8) -> bool {
         let budget = BudgetOptions {
             writes_per_s: 10.0,
             burst_s: 0.5,
             max_wait_ms: Duration::from_millis(400),
             ..BudgetOptions::default()
         };
-        let world = world(Vec::new(), &budget);
+        let fixture = fixture(Vec::new(), &budget);
         let mut at_ms = Vec::new();
         for gap in gaps_ms {
-            world.clock.advance(Duration::from_millis(gap.into()));
-            let transaction = increment(&world.table, "proof/x");
-            let result = smol::block_on(world.guarded.call(TableRequest::Commit(transaction)));
+            fixture.clock.advance(Duration::from_millis(gap.into()));
+            let transaction = increment(&fixture.table, "proof/x");
+            let result = smol::block_on(fixture.guarded.call(TableRequest::Commit(transaction)));
             if result.is_ok() {
-                at_ms.push(world.clock.elapsed().as_millis());
+                at_ms.push(fixture.clock.elapsed().as_millis());
             }
         }
         let window = usize::from(window) % 16 + 1;
-        // 5 at once, then one every 100 ms; one more for rounding at the window's edges.
+        // A burst of 5, then one call per 100 ms; one more is allowed for rounding.
         at_ms.windows(window + 1).all(|calls| {
             calls[window] - calls[0] + 600 >= 100 * window as u128
         })
     }
 }
 
-/// Guards against calls that are retried for ever, and against retries in quick succession.
+/// Guards against calls that are retried without limit, or that stop being retried too early.
 #[test]
-fn gives_up_after_its_time_in_an_outage() {
-    let world = world(Vec::new(), &BudgetOptions::default());
-    world.table.set_outage(true);
-    let transaction = increment(&world.table, "proof/1");
-    let result = smol::block_on(world.guarded.call(TableRequest::Commit(transaction)));
+fn stops_retrying_after_the_timeout_in_an_outage() {
+    let fixture = fixture(Vec::new(), &BudgetOptions::default());
+    fixture.table.set_outage(true);
+    let transaction = increment(&fixture.table, "proof/1");
+    let result = smol::block_on(fixture.guarded.call(TableRequest::Commit(transaction)));
     assert!(matches!(result, Err(StoreError::Unavailable(_))));
-    let elapsed = world.clock.elapsed();
+    let elapsed = fixture.clock.elapsed();
     assert!(elapsed > Duration::from_secs(7) && elapsed <= Duration::from_secs(10));
 }
 
-/// Guards against a retry of a write that cannot be recognised when it is read back.
+/// Guards against a retry of a commit whose first attempt cannot be recognised by reading it back,
+/// so that it might be applied twice.
 #[test]
-fn does_not_retry_lost_commit_without_proof() {
-    let world = world(Vec::new(), &BudgetOptions::default());
-    let mut transaction = increment(&world.table, "proof/1");
+fn does_not_retry_a_commit_without_proof_after_a_lost_reply() {
+    let fixture = fixture(Vec::new(), &BudgetOptions::default());
+    let mut transaction = increment(&fixture.table, "proof/1");
     transaction.proof = String::new();
-    world.table.lose_replies(1);
-    let result = smol::block_on(world.guarded.call(TableRequest::Commit(transaction)));
+    fixture.table.lose_replies(1);
+    let result = smol::block_on(fixture.guarded.call(TableRequest::Commit(transaction)));
     assert!(matches!(result, Err(StoreError::Unanswered(_))));
-    assert_eq!(world.table.counters().writes, 1);
+    assert_eq!(fixture.table.counters().writes, 1);
 }
 
-/// Guards against a row that is written again after its deletion and passes an old check.
+/// Guards against a check that holds although the row was deleted and written again.
 #[test]
-fn rewritten_row_never_repeats_a_version() {
+fn rewritten_row_does_not_reuse_a_version() {
     let table = MemoryTable::new();
     let write = |value: Option<&str>| {
         let transaction = Transaction {
--- a/components/types/src/change.rs
+++ b/components/types/src/change.rs
@@ -1,4 +1,4 @@
-//! The change log: one record for each accepted change of configuration.
+//! Change log: one record per accepted configuration change.
 
 use std::time::Duration;
 
@@ -15,48 +15,48 @@
 use crate::service::Service;
 use crate::target::Target;
 
-/// What a change put in force.
+/// Content of a change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeBody {
     /// A profile was created or changed.
     Profile {
-        /// Value before, if it existed.
+        /// Previous value; `None` if the profile is new.
         before: Option<Profile>,
-        /// Value now in force.
+        /// Value that applies from this revision on.
         after: Profile,
     },
     /// A profile was retired.
     ProfileRetired {
-        /// Value before.
+        /// Last value.
         before: Profile,
         /// Name of the retired profile.
         name: ProfileName,
     },
-    /// A service was created or picked another profile.
+    /// A service was created, or now uses another profile.
     Service {
-        /// Value before, if it existed.
+        /// Previous value; `None` if the service is new.
         before: Option<Service>,
-        /// Value now in force.
+        /// Value that applies from this revision on.
         after: Service,
     },
-    /// A target was registered, or its agent took note of an executed order.
+    /// A target was registered, or its agent recorded that an order was executed.
     Target {
-        /// Value before, if it existed.
+        /// Previous value; `None` if the target is new.
         before: Option<Target>,
-        /// Value now in force.
+        /// Value that applies from this revision on.
         after: Target,
     },
-    /// An order was given to a target.
+    /// An order to a target was written.
     Order {
-        /// Order before, if any.
+        /// Previous order to the target; `None` for the first one.
         before: Option<Order>,
-        /// Order now in force.
+        /// Order that applies from this revision on.
         after: Order,
     },
-    /// A planner decided against a change; nothing was put in force.
+    /// A planner decided to keep the current roles; the configuration is unchanged.
     PlanKept {
-        /// Service planned for.
+        /// Service that the plan is for.
         service: String,
     },
 }
@@ -72,12 +72,13 @@
     pub at_ms: Duration,
     /// Operator, planner or agent that made the change.
     pub by: String,
-    /// Why, for people.
+    /// Free-text reason, for operators.
     pub reason: String,
-    /// Unique to the write, to recognise it when its reply is lost. Text in JSON, because
-    /// `serde_json::Value` and most JSON readers hold no 128-bit numbers.
+    /// Unique per write, so that a writer whose reply was lost can find out whether its write took
+    /// effect. Encoded as a string in JSON, because `serde_json::Value` and most JSON parsers do
+    /// not support 128-bit numbers.
     #[serde_as(as = "DisplayFromStr")]
     pub token: u128,
-    /// What changed.
+    /// Content of the change.
     pub body: ChangeBody,
 }
--- a/components/types/src/clock.rs
+++ b/components/types/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock, passed in as an interface so that decisions can run in virtual time.
+//! Clock interface, so that time-dependent logic can run in virtual time.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 
 /// Source of monotonic and wall-clock time.
 pub trait Clock {
-    /// Monotonic time, for every timeout and deadline.
+    /// Monotonic time, for timeouts and deadlines.
     fn now(&self) -> Instant;
     /// Wall-clock time, for audit records only.
     fn wall(&self) -> SystemTime;
 }
 
-/// The clock of the operating system.
+/// Clock of the operating system.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct SystemClock;
 
@@ -27,29 +27,30 @@
     }
 }
 
-/// A clock that moves only when told to.
+/// Virtual clock that only moves when [`ManualClock::advance`] is called.
 #[derive(Debug)]
 pub struct ManualClock {
-    base: Instant,
+    start: Instant,
     elapsed: Cell<Duration>,
 }
 
 impl ManualClock {
-    /// Starts at an arbitrary instant.
+    /// Creates a clock that starts at the current instant; its wall-clock time starts at the Unix
+    /// epoch.
     #[must_use]
     pub fn new() -> Self {
         Self {
-            base: Instant::now(),
+            start: Instant::now(),
             elapsed: Cell::new(Duration::ZERO),
         }
     }
 
-    /// Moves time forward.
+    /// Moves the clock forward.
     pub fn advance(&self, step: Duration) {
         self.elapsed.set(self.elapsed.get() + step);
     }
 
-    /// Time since the clock was made.
+    /// Virtual time since the clock was created.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
         self.elapsed.get()
@@ -64,7 +65,7 @@
 
 impl Clock for ManualClock {
     fn now(&self) -> Instant {
-        self.base + self.elapsed.get()
+        self.start + self.elapsed.get()
     }
 
     fn wall(&self) -> SystemTime {
--- a/components/types/src/headers.rs
+++ b/components/types/src/headers.rs
@@ -1,50 +1,55 @@
-//! Header fields that pass between a caller and a target.
+//! HTTP header fields that are forwarded between a caller and a target.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Most fields of one message; a caller's head has no more than 64 by default either.
+/// Maximum number of fields per message, equal to the default limit for a caller's request head.
 pub const HEADER_COUNT_LIMIT: usize = 64;
-/// Most bytes of names and values of one message; a caller's head is at most 16 KiB by default.
+/// Maximum total size of names and values per message. The default limit for a caller's request
+/// head is also 16 KiB.
 pub const HEADER_BYTES_LIMIT: usize = 16 << 10;
 
-/// One field. A name that appears several times has one `Header` for each of its lines.
+/// Header field. A field that is repeated in a message has one `Header` per field line.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Header {
-    /// Name in lower case.
+    /// Name, in lower case.
     pub name: String,
     /// Value: printable ASCII, spaces and tabs.
     pub value: String,
 }
 
-/// Fields of one message, in order. Names, values, count and size are checked whenever a value is
-/// made, also on decoding, so that no value can end a line of a head.
+/// Header fields of one message, in order.
+///
+/// Names, values, count and size are validated on construction and on deserialization, so a value
+/// cannot contain a line break and inject further fields.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Vec<Header>")]
 pub struct Headers(Vec<Header>);
 
-/// Fields that are not accepted.
+/// Reason why a list of header fields is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeadersError {
     /// More than `HEADER_COUNT_LIMIT` fields.
     TooMany,
     /// More than `HEADER_BYTES_LIMIT` bytes.
     TooLong,
-    /// A name is no lower-case token.
+    /// A name is not a lower-case HTTP token.
     Name,
-    /// A value has a byte that is neither printable ASCII nor a space or tab.
+    /// A value contains a byte other than printable ASCII, space and tab.
     Value,
 }
 
 impl fmt::Display for HeadersError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooMany => write!(f, "more than {HEADER_COUNT_LIMIT} fields"),
-            Self::TooLong => write!(f, "more than {HEADER_BYTES_LIMIT} bytes of fields"),
-            Self::Name => f.write_str("a field name is no lower-case token"),
-            Self::Value => f.write_str("a field value is not printable ASCII"),
+            Self::TooMany => write!(f, "more than {HEADER_COUNT_LIMIT} header fields"),
+            Self::TooLong => write!(f, "header fields exceed {HEADER_BYTES_LIMIT} bytes"),
+            Self::Name => f.write_str("a header field name is not a lower-case HTTP token"),
+            Self::Value => f.write_str(
+                "a header field value has a byte other than printable ASCII, space and tab",
+            ),
         }
     }
 }
@@ -52,21 +57,21 @@
 impl std::error::Error for HeadersError {}
 
 impl Headers {
-    /// Whether there is none.
+    /// Whether the message has no fields.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Fields in order.
+    /// Iterates over the fields in message order.
     pub fn iter(&self) -> impl Iterator<Item = &Header> {
         self.0.iter()
     }
 
-    /// Values of a field, in order; `name` is in lower case.
+    /// Values of all fields with a name, in message order; `name` must be in lower case.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        let named = self.0.iter().filter(move |header| header.name == name);
-        named.map(|header| header.value.as_str())
+        let matching = self.0.iter().filter(move |header| header.name == name);
+        matching.map(|header| header.value.as_str())
     }
 }
 
--- a/components/types/src/lib.rs
+++ b/components/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Data shared by every component: ids, time, profiles, targets, orders, work and load.
+//! Data types shared by the components: ids, time, profiles, targets, orders, requests and load.
 //!
-//! Nothing here does I/O or holds state. A type lives in this crate only when at least two
-//! components exchange it.
+//! This crate does no I/O and holds no state. It contains only types that at least two components
+//! exchange.
 
 pub mod change;
 pub mod clock;
--- a/components/types/src/load.rs
+++ b/components/types/src/load.rs
@@ -1,4 +1,4 @@
-//! What a target reports of itself, always somewhat late.
+//! Load and prefix cache reports of targets. Both lag behind the state of the target.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,47 +8,47 @@
 use crate::target::Loaded;
 use crate::target::Role;
 
-/// Load of one target at the moment of the report.
+/// Load of a target when the report was sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Run of the agent that reports.
+    /// Incarnation of the agent that sends the report.
     pub incarnation: Incarnation,
-    /// Grows with every report of one incarnation; lower ones are stale.
+    /// Increases with every report of an incarnation; reports with a lower number are stale.
     pub sequence: u64,
-    /// Age of the engine's own figures when the agent sent them.
+    /// Age of the engine's metrics when the agent sent the report.
     pub age_ms: u32,
-    /// Requests in service.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests accepted but not started.
+    /// Requests accepted but not yet started.
     pub queued: u32,
-    /// Prompt tokens still to be processed.
+    /// Prompt tokens of accepted requests that are still to be processed.
     pub prefill_backlog_tokens: u64,
-    /// Output tokens still expected.
+    /// Output tokens that accepted requests are still expected to generate.
     pub decode_backlog_tokens: u64,
-    /// Dispatches received in this incarnation from the process that reads the report, to net out
-    /// what that process sent since the report.
+    /// Dispatches received in this incarnation from the recipient of the report. The recipient uses
+    /// it to add the load of dispatches that the report does not include.
     pub received: u64,
-    /// Share of the KV cache in use, in thousandths.
+    /// Share of the KV cache that is in use.
     pub cache_used_permille: u16,
-    /// Role in force.
+    /// Current role.
     pub role: Role,
-    /// Model, adapters and version in force.
+    /// Model version and adapters currently loaded.
     pub loaded: Loaded,
-    /// Last order executed.
+    /// Number of the last order that was executed.
     pub applied: OrderNumber,
-    /// The target accepts no new work.
+    /// Whether the target is draining and accepts no new requests.
     pub leaving: bool,
-    /// The target is away for a change or after a crash.
+    /// Whether the target is unavailable because of a model or role change or a crash.
     pub away: bool,
 }
 
-/// Change in the prefix cache of a target; late and with gaps.
+/// Change in the prefix cache of a target. Events may arrive late or be lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Grows by one with every event of an incarnation, so that gaps are seen.
+    /// Increases by one with every event of an incarnation, so that lost events can be detected.
     pub sequence: u64,
-    /// Hash of the prefix up to and including one cache piece.
+    /// Hash of the prompt prefix up to and including one cache piece, a block of the KV cache.
     pub prefix: u64,
-    /// The piece was stored; otherwise it was evicted.
+    /// Whether the piece was stored; `false` if it was evicted.
     pub stored: bool,
 }
--- a/components/types/src/order.rs
+++ b/components/types/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to a target about its models, adapters, version, role and service state.
+//! Orders that change the model, adapters, role or service state of a target.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,67 +9,67 @@
 use crate::ids::TargetName;
 use crate::target::Role;
 
-/// What a target has to do.
+/// Action that an order requests from a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum OrderKind {
-    /// Load a model at a version and drop the one in force.
+    /// Load a version of a model in place of the current model.
     LoadModel {
         /// Model to load.
         model: String,
-        /// Version of its weights.
+        /// Version of the model's weights.
         version: String,
     },
-    /// Load an adapter beside those in force.
+    /// Load an adapter in addition to those loaded.
     LoadAdapter {
         /// Adapter to load.
         adapter: String,
     },
-    /// Remove an adapter.
+    /// Unload an adapter.
     UnloadAdapter {
-        /// Adapter to remove.
+        /// Adapter to unload.
         adapter: String,
     },
-    /// Change the role; the engine is away for seconds.
+    /// Change the role; the engine is unavailable for some seconds.
     ChangeRole {
-        /// Role to take.
+        /// New role.
         role: Role,
     },
-    /// Accept no new work and finish what runs.
+    /// Accept no new requests and finish those in progress.
     Drain,
-    /// Drain, then hand the slot to a new host.
+    /// Drain; a new host replaces the target.
     Replace,
-    /// Drain, then leave the fleet for good.
+    /// Drain, then remove the target permanently.
     Withdraw,
-    /// Accept work again after a drain.
+    /// Accept requests again after a drain.
     Resume,
 }
 
 impl OrderKind {
-    /// Whether the target accepts no new work after this order.
+    /// Whether the target accepts no new requests after this order.
     #[must_use]
     pub fn ends_service(&self) -> bool {
         matches!(self, Self::Drain | Self::Replace | Self::Withdraw)
     }
 
-    /// Whether the order must be passed on to the engine.
+    /// Whether the order must be sent to the engine.
     #[must_use]
     pub fn concerns_engine(&self) -> bool {
         !self.ends_service() && *self != Self::Resume
     }
 }
 
-/// The latest order to one target, as stored in the table.
+/// Latest order to a target, as stored in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Target concerned.
+    /// Target that the order is addressed to.
     pub target: TargetName,
-    /// Higher than that of every earlier order to the target.
+    /// Increases with every order to the target.
     pub number: OrderNumber,
     /// Fencing number of the lease under which the order was written.
     pub fencing: FencingNumber,
-    /// Revision of the change that carries the order.
+    /// Revision of the change log that wrote the order.
     pub revision: Revision,
-    /// What to do.
+    /// Requested action.
     pub kind: OrderKind,
 }
--- a/components/types/src/profile.rs
+++ b/components/types/src/profile.rs
@@ -1,4 +1,4 @@
-//! Profiles: how one kind of work is to be served.
+//! Profiles: limits, deadlines and retry rules that apply to the requests of a service.
 
 use std::time::Duration;
 
@@ -10,58 +10,58 @@
 
 use crate::ids::ProfileName;
 
-/// What happens to a non-idempotent request without an `Idempotency-Key`.
+/// Handling of a non-idempotent request without an `Idempotency-Key`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeylessPolicy {
-    /// Refused as not run.
+    /// The request is refused without being run.
     #[default]
     Refuse,
-    /// Run at most once; a resend counts as a new request.
+    /// The request is run at most once; a resend counts as a new request.
     RunOnce,
 }
 
-/// How one kind of work is served.
+/// Limits, deadlines and retry rules for requests.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Profile {
     /// Name, unique within the deployment.
     pub name: ProfileName,
-    /// Model that the engines must have loaded; empty for plain services.
+    /// Model that the engine must have loaded; empty for plain services.
     pub model: String,
     /// Version of the model's weights.
     pub version: String,
-    /// Adapter that the work needs; empty for none.
+    /// Adapter that the engine must have loaded; empty for none.
     pub adapter: String,
-    /// 0 is served first.
+    /// From 0, which is served first, to 9.
     pub priority: u8,
-    /// Time from acceptance to the whole answer; also the cap for the caller's own deadline.
+    /// Time limit from acceptance to the end of the answer; also caps the caller's deadline.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub deadline_ms: Duration,
-    /// Time to the first token that operators want to see kept.
+    /// Objective for the time to the first token.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub first_token_ms: Duration,
-    /// Requests of one entry that may wait for a target.
+    /// Maximum number of requests that wait for a target, per entry.
     pub queue_limit: u32,
-    /// Requests of one entry at one target at once.
+    /// Maximum number of concurrent requests from one entry to one target.
     pub concurrency_limit: u32,
-    /// Largest accepted body.
+    /// Maximum size of a request body.
     pub body_limit_bytes: u64,
-    /// Largest accepted number of output tokens.
+    /// Maximum number of output tokens that a request may ask for.
     pub output_limit_tokens: u32,
-    /// Attempts of one request, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub attempt_limit: u32,
-    /// A POST of this kind may be repeated.
+    /// Whether a POST request may be retried.
     pub idempotent: bool,
-    /// What happens to a non-idempotent request without a key.
+    /// Handling of non-idempotent requests without an `Idempotency-Key`.
     pub keyless: KeylessPolicy,
-    /// How long a non-idempotent answer is kept for resends.
+    /// Time for which the answer to a non-idempotent request is kept for resends.
     #[serde_as(as = "DurationSeconds<u64>")]
     pub retention_s: Duration,
-    /// Factor on the seconds that a role change costs; higher means fewer changes.
+    /// Factor on the cost of a role change, in seconds; higher values lead to fewer changes.
     pub role_change_weight: f64,
-    /// Factor on the prefill time that a cached prefix saves; 0 ignores the cache.
+    /// Factor on the prefill time that a cached prefix saves; 0 disables cache-aware routing.
     pub cache_affinity: f64,
 }
 
@@ -89,12 +89,12 @@
     }
 }
 
-/// A profile that cannot be served.
+/// Invalid field of a profile.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProfileError {
-    /// Field at fault.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// What to do.
+    /// Values that are accepted.
     pub fix: &'static str,
 }
 
@@ -107,11 +107,11 @@
 impl std::error::Error for ProfileError {}
 
 impl Profile {
-    /// Checks every field on its own and against the others.
+    /// Checks that every field is within its range.
     ///
     /// # Errors
     ///
-    /// Names the first field that is out of range and the range.
+    /// Returns the first field that is out of range, and its range.
     pub fn validate(&self) -> Result<(), ProfileError> {
         let checks: [(bool, &'static str, &'static str); 9] = [
             (is_name(&self.name), "name", "use 1 to 63 of a-z, 0-9 and -"),
@@ -148,14 +148,15 @@
                 "use 0 or more",
             ),
         ];
-        match checks.into_iter().find(|(holds, ..)| !holds) {
+        match checks.into_iter().find(|(is_valid, ..)| !is_valid) {
             Some((_, field, fix)) => Err(ProfileError { field, fix }),
             None => Ok(()),
         }
     }
 }
 
-/// Whether a string can name a profile, service or target in paths and row keys.
+/// Whether a string is a valid name of a profile, service or target: 1 to 63 of `a-z`, `0-9` and
+/// `-`, so that it can be used in paths and row keys.
 #[must_use]
 pub fn is_name(text: &str) -> bool {
     (1..=63).contains(&text.len())
--- a/components/types/src/reply.rs
+++ b/components/types/src/reply.rs
@@ -1,4 +1,4 @@
-//! What a caller gets back.
+//! Answers and refusals that are returned to a caller.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 
 use crate::headers::Headers;
 
-/// What is known about the execution of a request that was not answered.
+/// Whether a request that got no complete answer was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunState {
-    /// No target ran any part of it, and none will.
+    /// No target ran any part of the request, and none will.
     NotRun,
-    /// It may have run, in part or whole.
+    /// The request may have been run, partly or completely.
     Unknown,
 }
 
@@ -23,84 +23,87 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// The request itself is wrong.
+    /// The request is invalid.
     BadRequest,
-    /// No such service.
+    /// The service does not exist.
     UnknownService,
-    /// A non-idempotent request without a key, where the profile demands one.
+    /// The request is not idempotent and lacks the `Idempotency-Key` that the profile requires.
     KeyRequired,
-    /// The key was used before with another body.
+    /// The `Idempotency-Key` was already used with a different body.
     KeyReused,
-    /// The queue is full, or the deadline cannot be met behind it.
+    /// The queue is full, or too long for the deadline to be met.
     Overloaded,
-    /// No target can take the work.
+    /// No target can serve the request.
     NoTarget,
-    /// The table needed for a claim does not answer.
+    /// The table in which the request must be claimed does not answer.
     StoreUnavailable,
     /// This process has no configuration yet.
     NotReady,
-    /// This process is stopping.
+    /// This process is shutting down.
     Leaving,
     /// The deadline passed.
     DeadlineExceeded,
     /// Every attempt failed.
     TargetFailed,
-    /// A non-idempotent request may have run and its answer is lost.
+    /// A non-idempotent request may have been run, and its answer is lost.
     OutcomeUnknown,
 }
 
-/// A final answer that carries no result.
+/// Final answer without a result.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: RefusalReason,
-    /// Whether it ran.
+    /// Whether the request was run.
     pub run: RunState,
-    /// When to come back; `None` means that a resend cannot help.
+    /// Time after which the caller may retry; `None` if a retry cannot succeed.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub retry_after_ms: Option<Duration>,
-    /// One sentence for the caller's developer.
+    /// Explanation for the developer of the caller, in one sentence.
     pub detail: String,
 }
 
-/// Tokens used by an answer, as the target reported them.
+/// Token counts of an answer, as reported by the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Prompt tokens.
+    /// Prompt tokens, cached ones included.
     pub prompt_tokens: u32,
-    /// Prompt tokens found in the prefix cache.
+    /// Prompt tokens that were read from the prefix cache.
     pub cached_tokens: u32,
     /// Output tokens.
     pub output_tokens: u32,
 }
 
 impl Usage {
-    /// Whether the target stated it. An answer without usage has used tokens nevertheless.
+    /// Whether the target reported its usage. A target that reports none still used tokens, so zero
+    /// counts mean that the usage is unknown.
     #[must_use]
     pub fn is_known(&self) -> bool {
         *self != Self::default()
     }
 }
 
-/// Part of an answer, in order: one `Head`, any number of `Body`, one `End`; or one `Refused`.
+/// Part of an answer. An answer consists of one `Head`, any number of `Body` and one `End`, in this
+/// order, or of one `Refused`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// Head of the answer.
+    /// Status and header fields.
     Head {
         /// HTTP status.
         status: u16,
         /// Media type of the body.
         content_type: String,
-        /// Other fields of the head that the caller gets.
+        /// Other header fields that are forwarded to the caller.
         headers: Headers,
-        /// Target that answers.
+        /// Target that sent the answer.
         served_by: String,
     },
     /// Next bytes of the body.
     Body(Vec<u8>),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// The final answer is a refusal. After a `Head` the caller's connection is closed instead.
+    /// The request is refused. If a `Head` was already sent, the caller's connection is closed
+    /// instead.
     Refused(Refusal),
 }
--- a/components/types/src/service.rs
+++ b/components/types/src/service.rs
@@ -1,4 +1,4 @@
-//! Services, and the profile that each one runs under.
+//! Services and their assignment to profiles.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 use crate::ids::ProfileName;
 use crate::ids::ServiceName;
 
-/// What stands behind a service.
+/// Kind of targets that serve a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
@@ -16,14 +16,14 @@
     Plain,
 }
 
-/// A service and the profile it picked.
+/// Service and its profile.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name that callers use in the path.
+    /// Name, as used by callers in the request path.
     pub name: ServiceName,
-    /// What stands behind it.
+    /// Kind of its targets.
     pub kind: ServiceKind,
-    /// Profile in force for its requests.
+    /// Profile that applies to its requests.
     pub profile: ProfileName,
 }
--- a/components/types/src/target.rs
+++ b/components/types/src/target.rs
@@ -1,4 +1,4 @@
-//! Targets: model engines and plain services that requests are routed to.
+//! Targets: model engines and plain HTTP services that requests are routed to.
 
 use std::net::SocketAddr;
 
@@ -13,80 +13,80 @@
 use crate::ids::TargetName;
 use crate::service::ServiceKind;
 
-/// Part of the work that an engine is tuned for.
+/// Phase of inference that an engine is optimised for.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Long prompts with short answers.
+    /// Prompt processing: long prompts with short answers.
     Prefill,
-    /// Short prompts with many streams at once.
+    /// Token generation: short prompts with many concurrent streams.
     Decode,
-    /// Both, without being best at either.
+    /// Both phases, optimised for neither.
     #[default]
     Mixed,
 }
 
-/// Model, adapters and version that an engine has loaded.
+/// Model version and adapters that an engine has loaded, or that a request requires.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Loaded {
-    /// Model in force; empty for plain services.
+    /// Model; empty for plain services, or if no particular model is required.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub version: String,
-    /// Adapters, sorted.
+    /// Adapters, sorted by name.
     pub adapters: Vec<String>,
 }
 
-/// Whether a target takes new work.
+/// Service state of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// Takes new work.
+    /// Accepts new requests.
     #[default]
     Active,
-    /// Finishes what runs and takes nothing new.
+    /// Finishes requests in progress and accepts no new ones.
     Draining,
-    /// Finishes what runs; a new host takes the slot.
+    /// Drains; a new host replaces the target.
     Replacing,
-    /// Left for good.
+    /// Removed permanently.
     Withdrawn,
 }
 
 impl TargetState {
-    /// Whether new work may be dispatched.
+    /// Whether new requests may be dispatched to the target.
     #[must_use]
     pub fn accepts_work(self) -> bool {
         self == Self::Active
     }
 }
 
-/// A target as its agent registered it in the table.
+/// Target as registered in the table by its agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// Name, unique within the deployment.
     pub name: TargetName,
     /// Service that it serves.
     pub service: ServiceName,
-    /// Engine or plain service.
+    /// Model engine or plain service.
     pub kind: ServiceKind,
-    /// Data centre that it stands in.
+    /// Data centre of the host.
     pub place: Place,
-    /// Host that it runs on.
+    /// Host that the target runs on.
     pub host: HostName,
-    /// Address of its agent, for TCP and UDP.
+    /// Address of the agent, for TCP and UDP.
     pub agent: SocketAddr,
-    /// Run of the agent that holds the target.
+    /// Incarnation of the agent that registered the target.
     pub incarnation: Incarnation,
-    /// The engine refuses an order with an old fencing number.
+    /// Whether the engine rejects orders with an outdated fencing number.
     pub honours_fencing: bool,
-    /// Whether it takes new work.
+    /// Whether the target accepts new requests.
     pub state: TargetState,
-    /// Role in force.
+    /// Current role.
     pub role: Role,
-    /// Model, adapters and version in force.
+    /// Model version and adapters currently loaded.
     pub loaded: Loaded,
-    /// Last order executed.
+    /// Number of the last order that was executed.
     pub applied: OrderNumber,
 }
--- a/components/types/src/work.rs
+++ b/components/types/src/work.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for.
+//! Requests from callers.
 
 use std::time::Duration;
 
@@ -16,17 +16,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Method {
-    /// GET.
+    /// `GET`.
     Get,
-    /// HEAD.
+    /// `HEAD`.
     Head,
-    /// PUT.
+    /// `PUT`.
     Put,
-    /// DELETE.
+    /// `DELETE`.
     Delete,
-    /// POST.
+    /// `POST`.
     Post,
-    /// PATCH.
+    /// `PATCH`.
     Patch,
 }
 
@@ -37,7 +37,7 @@
         !matches!(self, Self::Post | Self::Patch)
     }
 
-    /// Name on the wire.
+    /// Method name as in an HTTP request line.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -51,46 +51,46 @@
     }
 }
 
-/// Work for one target; the same for every attempt.
+/// Request as dispatched to a target; identical for every attempt.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
-    /// Service addressed.
+    /// Service that the caller addressed.
     pub service: ServiceName,
-    /// HTTP method.
+    /// HTTP method of the caller's request.
     pub method: Method,
-    /// Path below the service, with its query, for example `/v1/completions`.
+    /// Path relative to the service, including the query, for example `/v1/completions`.
     pub path: String,
-    /// Media type of the body; empty without one.
+    /// Media type of the body; empty if the request has no `Content-Type`.
     pub content_type: String,
-    /// Other fields of the head that the target gets.
+    /// Other header fields that are forwarded to the target.
     pub headers: Headers,
-    /// Body, passed on unchanged.
+    /// Request body, forwarded unchanged.
     #[serde_as(as = "Bytes")]
     pub body: Vec<u8>,
-    /// The caller asked for server-sent events.
+    /// Whether the caller asked for server-sent events.
     pub stream: bool,
-    /// Model that the caller named; empty takes the profile's.
+    /// Model that the caller requested; if empty, the model of the profile is used.
     pub model: String,
     /// Estimated prompt length.
     pub prompt_tokens: u32,
-    /// Upper bound of the output.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u32,
-    /// Hash of the prompt's prefix after each whole cache piece.
+    /// Hash of the prompt prefix up to the end of each full cache piece, a block of the KV cache.
     pub prefixes: Vec<u64>,
 }
 
-/// A request as the caller's side hands it over.
+/// Request as submitted by the HTTP front end.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Who asks.
+    /// Caller that sent the request.
     pub caller: CallerName,
-    /// What for.
+    /// Request for the target.
     pub work: Work,
     /// `Idempotency-Key` of the request.
     pub key: Option<String>,
-    /// Time left as the caller states it; the profile's deadline caps it.
+    /// Deadline that the caller set, relative to now; capped by the deadline of the profile.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub deadline_ms: Option<Duration>,
 }
--- a/components/wire/src/answer.rs
+++ b/components/wire/src/answer.rs
@@ -1,31 +1,31 @@
-//! Digest of an answer, computed at both ends of the path.
+//! Digest of an answer, computed by both the agent and the entry.
 
-/// BLAKE3 digest of all bytes of an answer's body.
+/// BLAKE3 digest of an answer's body.
 pub type Digest = [u8; 32];
 
-/// Running length and digest of an answer.
+/// Incremental length and digest of an answer's body.
 #[derive(Clone, Default)]
 pub struct AnswerDigest {
-    /// Boxed, and made for the first byte: its state takes 1.9 KB, which every move of the owner
-    /// would copy and every slot of a map of owners would hold.
+    /// Boxed and created on the first byte, because its state takes 1.9 KB, which would be copied
+    /// with every move of the struct and reserved in every slot of a map that contains it.
     hasher: Option<Box<blake3::Hasher>>,
     length: u64,
 }
 
 impl AnswerDigest {
-    /// Takes the next bytes.
+    /// Appends bytes of the body.
     pub fn push(&mut self, bytes: &[u8]) {
         self.hasher.get_or_insert_default().update(bytes);
         self.length += bytes.len() as u64;
     }
 
-    /// Bytes taken so far.
+    /// Number of bytes appended so far.
     #[must_use]
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Digest of the bytes taken so far.
+    /// Digest of the bytes appended so far.
     #[must_use]
     pub fn digest(&self) -> Digest {
         let digest = match &self.hasher {
--- a/components/wire/src/datagram.rs
+++ b/components/wire/src/datagram.rs
@@ -1,7 +1,7 @@
-//! UDP datagrams: heartbeats with load, and news of newer revisions.
+//! UDP datagrams: heartbeats with load reports, and announcements of new revisions.
 //!
-//! Datagrams may be lost, repeated or reordered, so each one is complete in itself and every
-//! field that must not go back carries a number that only grows.
+//! Datagrams may be lost, duplicated or reordered. Each one is therefore self-contained, and
+//! fields whose stale values must be ignored carry a monotonically increasing number.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,46 +15,47 @@
 use crate::keys::Keyring;
 use crate::keys::MAC_BYTES;
 
-/// Largest datagram; fits an Ethernet frame without fragments.
+/// Maximum size of a datagram; fits into an Ethernet frame without IP fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
+/// Protocol version, key id and MAC.
 const HEADER_BYTES: usize = 2 + 1 + MAC_BYTES;
 
-/// Message in one datagram.
+/// Payload of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Entry asks an agent for a sign of life.
+    /// Heartbeat request from an entry to an agent.
     Probe {
-        /// Run of the entry.
+        /// Incarnation of the entry.
         entry: Incarnation,
-        /// Grows with every probe.
+        /// Increases with every probe.
         sequence: u64,
-        /// Head revision that the entry knows.
+        /// Latest revision that the entry knows.
         head: Revision,
     },
-    /// Agent answers a probe.
+    /// Answer of an agent to a probe.
     Alive {
-        /// Target that the agent serves.
+        /// Target that the agent manages.
         target: TargetName,
-        /// Sequence of the probe answered.
+        /// Sequence number of the probe.
         sequence: u64,
-        /// Load now.
+        /// Current load.
         load: LoadReport,
     },
-    /// Entry tells another entry its head revision.
+    /// Announcement of an entry's latest revision to another entry.
     Head {
-        /// Run of the entry.
+        /// Incarnation of the entry.
         entry: Incarnation,
-        /// Head revision that it has applied.
+        /// Latest revision that the entry has applied.
         head: Revision,
     },
 }
 
 impl Datagram {
-    /// Encodes and signs.
+    /// Encodes and signs the datagram.
     ///
     /// # Errors
     ///
-    /// `TooLong` beyond `MAX_DATAGRAM_BYTES`.
+    /// Returns `TooLong` if the datagram exceeds `MAX_DATAGRAM_BYTES`.
     pub fn encode(&self, keys: &Keyring) -> Result<Vec<u8>, WireError> {
         let payload = postcard::to_stdvec(self).map_err(|_| WireError::Malformed)?;
         let bytes = HEADER_BYTES + payload.len();
@@ -73,11 +74,11 @@
         Ok(out)
     }
 
-    /// Checks and decodes.
+    /// Verifies and decodes a datagram.
     ///
     /// # Errors
     ///
-    /// Says what is wrong; the datagram is then dropped.
+    /// Returns an error if the datagram is invalid and must be dropped.
     pub fn decode(bytes: &[u8], keys: &Keyring) -> Result<Self, WireError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(WireError::TooLong {
--- a/components/wire/src/error.rs
+++ b/components/wire/src/error.rs
@@ -1,28 +1,28 @@
-//! Errors of decoding, each with the limit or value that was at fault.
+//! Errors of encoding, decoding and verification.
 
 use std::fmt;
 
-/// A frame or datagram that was refused.
+/// Reason why a frame or datagram is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WireError {
-    /// Longer than the limit.
+    /// The frame or datagram is longer than the limit.
     TooLong {
-        /// Announced length.
+        /// Actual length, or the length announced in the frame's prefix.
         bytes: usize,
-        /// Limit.
+        /// Maximum length.
         limit_bytes: usize,
     },
-    /// Shorter than its fixed parts.
+    /// The frame or datagram is shorter than its header, or the connection ended within a frame.
     Truncated,
-    /// Another protocol version.
+    /// The peer uses a different protocol version.
     Version(u16),
-    /// Signed with a key that is not in the settings.
+    /// The key id is not one of the configured keys.
     UnknownKey(u8),
     /// The MAC does not match.
     BadMac,
-    /// The payload is not a known message.
+    /// The payload cannot be decoded as a message.
     Malformed,
-    /// The sequence number is not the next one.
+    /// The sequence number is not the expected one.
     OutOfSequence,
 }
 
@@ -35,12 +35,12 @@
                     "frame of {bytes} bytes exceeds the limit of {limit_bytes}"
                 )
             }
-            Self::Truncated => f.write_str("frame is shorter than its header"),
-            Self::Version(version) => write!(f, "peer speaks protocol version {version}"),
+            Self::Truncated => f.write_str("frame is truncated"),
+            Self::Version(version) => write!(f, "peer uses protocol version {version}"),
             Self::UnknownKey(id) => write!(f, "key id {id} is not in `keys` of the settings"),
             Self::BadMac => f.write_str("MAC does not match; compare `keys` on both hosts"),
-            Self::Malformed => f.write_str("payload is not a known message"),
-            Self::OutOfSequence => f.write_str("frame is out of sequence"),
+            Self::Malformed => f.write_str("payload cannot be decoded as a message"),
+            Self::OutOfSequence => f.write_str("frame has an unexpected sequence number"),
         }
     }
 }
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -1,9 +1,9 @@
 //! Frames on a TCP connection.
 //!
-//! Layout: length `u32` (of all that follows), version `u16`, key id `u8`, sequence `u64`, MAC,
-//! payload; integers are little endian. The MAC covers the header, the payload, and a
-//! connection nonce that both ends exchange first, so that a frame can be neither replayed on
-//! another connection nor reordered on its own.
+//! Layout: length `u32` (of everything after it), version `u16`, key id `u8`, sequence number
+//! `u64`, MAC, payload; integers are little endian. The MAC covers the header, the payload, the
+//! direction, and a nonce that both ends agree on when the connection is opened. A frame can
+//! therefore be neither replayed on another connection nor reordered within one.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -13,16 +13,17 @@
 use crate::keys::Keyring;
 use crate::keys::MAC_BYTES;
 
-/// Largest frame. A dispatch carries a whole request body in frames of its own beyond this.
+/// Maximum length of a frame, without its length prefix. Longer request bodies are sent in several
+/// frames.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Length prefix.
+/// Size of the length prefix.
 const PREFIX_BYTES: usize = 4;
-/// Version, key id, sequence and MAC.
+/// Protocol version, key id, sequence number and MAC.
 const HEADER_BYTES: usize = 2 + 1 + 8 + MAC_BYTES;
-/// Nonce of a connection: 16 bytes from each end, the opener's first.
+/// Nonce of a connection: 16 bytes from each end, those of the opener first.
 pub type ConnectionNonce = [u8; 32];
 
-/// Encodes messages for one direction of a connection.
+/// Encodes the messages of one direction of a connection.
 pub struct FrameWriter {
     keys: Keyring,
     nonce: ConnectionNonce,
@@ -31,7 +32,7 @@
 }
 
 impl FrameWriter {
-    /// `direction` is 0 for the end that opened the connection, 1 for the other.
+    /// `direction` is 0 at the end that opened the connection and 1 at the other end.
     #[must_use]
     pub fn new(keys: Keyring, nonce: ConnectionNonce, direction: u8) -> Self {
         Self {
@@ -46,11 +47,11 @@
     ///
     /// # Errors
     ///
-    /// `TooLong` if the message does not fit; nothing is appended then.
+    /// Returns `TooLong` if the message does not fit into a frame; `out` is then unchanged.
     pub fn write(&mut self, message: &impl Serialize, out: &mut Vec<u8>) -> Result<(), WireError> {
         let start = out.len();
         out.resize(start + PREFIX_BYTES + HEADER_BYTES, 0);
-        if let Err(error) = self.append(message, out, start) {
+        if let Err(error) = self.encode(message, out, start) {
             out.truncate(start);
             return Err(error);
         }
@@ -58,13 +59,13 @@
         Ok(())
     }
 
-    fn append(
+    fn encode(
         &self,
         message: &impl Serialize,
         out: &mut Vec<u8>,
         start: usize,
     ) -> Result<(), WireError> {
-        let body = start + PREFIX_BYTES + HEADER_BYTES;
+        let payload_start = start + PREFIX_BYTES + HEADER_BYTES;
         postcard::to_io(message, &mut *out).map_err(|_| WireError::Malformed)?;
         let bytes = out.len() - start - PREFIX_BYTES;
         if bytes > MAX_FRAME_BYTES {
@@ -79,16 +80,19 @@
         header[4..6].copy_from_slice(&PROTOCOL_VERSION.to_le_bytes());
         header[6] = self.keys.signing_id();
         header[7..].copy_from_slice(&self.sequence.to_le_bytes());
-        let tag = self
-            .keys
-            .sign(&[&self.nonce, &[self.direction], &header, &out[body..]]);
+        let tag = self.keys.sign(&[
+            &self.nonce,
+            &[self.direction],
+            &header,
+            &out[payload_start..],
+        ]);
         out[start..start + header.len()].copy_from_slice(&header);
-        out[body - MAC_BYTES..body].copy_from_slice(&tag);
+        out[payload_start - MAC_BYTES..payload_start].copy_from_slice(&tag);
         Ok(())
     }
 }
 
-/// Decodes messages from one direction of a connection.
+/// Decodes the messages of one direction of a connection.
 pub struct FrameReader {
     keys: Keyring,
     nonce: ConnectionNonce,
@@ -99,7 +103,7 @@
 }
 
 impl FrameReader {
-    /// `direction` is that of the sending end.
+    /// `direction` is that of the sender: 0 if the peer opened the connection, otherwise 1.
     #[must_use]
     pub fn new(keys: Keyring, nonce: ConnectionNonce, direction: u8) -> Self {
         Self {
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Takes bytes from the socket.
+    /// Appends bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.consumed > 0 {
             self.buffer.drain(..self.consumed);
@@ -121,17 +125,17 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes held for frames that are not whole yet.
+    /// Number of bytes that are buffered and not yet decoded.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() - self.consumed
     }
 
-    /// Next whole message, or `None` until more bytes arrive.
+    /// Decodes the next message. Returns `None` if its frame is not complete yet.
     ///
     /// # Errors
     ///
-    /// Any error ends the connection: the stream cannot be trusted after it.
+    /// After any error the position in the stream is unreliable, and the connection must be closed.
     pub fn next_message<M: DeserializeOwned>(&mut self) -> Result<Option<M>, WireError> {
         let pending = &self.buffer[self.consumed..];
         let Some(prefix) = pending.first_chunk::<PREFIX_BYTES>() else {
@@ -150,13 +154,13 @@
         let Some(frame) = pending.get(..PREFIX_BYTES + bytes) else {
             return Ok(None);
         };
-        let message = self.check(frame)?;
+        let message = self.decode(frame)?;
         self.consumed += frame.len();
         self.sequence += 1;
         Ok(Some(message))
     }
 
-    fn check<M: DeserializeOwned>(&self, frame: &[u8]) -> Result<M, WireError> {
+    fn decode<M: DeserializeOwned>(&self, frame: &[u8]) -> Result<M, WireError> {
         let (header, rest) = frame.split_at(PREFIX_BYTES + HEADER_BYTES - MAC_BYTES);
         let (tag, payload) = rest.split_at(MAC_BYTES);
         let version = u16::from_le_bytes([header[4], header[5]]);
--- a/components/wire/src/keys.rs
+++ b/components/wire/src/keys.rs
@@ -1,27 +1,28 @@
-//! Keys for the MAC. Two may be valid at once, so that they can be rotated without a cut.
+//! MAC keys. Several keys can be valid at the same time, so that keys can be rotated without
+//! interrupting connections.
 
 use crate::error::WireError;
 
-/// Length of a MAC on the wire. 16 bytes leave a forger a chance of 2^-128 for each try.
+/// Length of a MAC on the wire. With 16 bytes, a forged MAC is accepted with probability 2^-128.
 pub const MAC_BYTES: usize = 16;
 
-/// One shared key.
+/// Pre-shared key.
 #[derive(Clone)]
 pub struct Key {
-    /// Number that goes on the wire.
+    /// Id that identifies the key on the wire.
     pub id: u8,
-    /// Secret.
+    /// Secret key of the MAC.
     pub secret: [u8; 32],
 }
 
-/// Keys accepted by this process; the first one signs.
+/// Keys that this process accepts; the first one is used for signing.
 #[derive(Clone)]
 pub struct Keyring {
     keys: Vec<Key>,
 }
 
 impl Keyring {
-    /// Takes the signing key first. Returns `None` without any key.
+    /// Creates a keyring whose first key signs. Returns `None` if `keys` is empty.
     #[must_use]
     pub fn new(keys: Vec<Key>) -> Option<Self> {
         if keys.is_empty() {
@@ -36,17 +37,17 @@
         self.keys[0].id
     }
 
-    /// MAC of `parts`, in order, with the signing key.
+    /// Computes the MAC of the concatenated `parts` with the signing key.
     #[must_use]
     pub fn sign(&self, parts: &[&[u8]]) -> [u8; MAC_BYTES] {
         mac(&self.keys[0].secret, parts)
     }
 
-    /// Checks a MAC in constant time.
+    /// Verifies a MAC in constant time.
     ///
     /// # Errors
     ///
-    /// `UnknownKey` or `BadMac`.
+    /// Returns `UnknownKey` if no key has this id, and `BadMac` if the MAC does not match.
     pub fn verify(&self, id: u8, parts: &[&[u8]], tag: &[u8]) -> Result<(), WireError> {
         let Some(key) = self.keys.iter().find(|key| key.id == id) else {
             return Err(WireError::UnknownKey(id));
@@ -55,7 +56,7 @@
         let difference = expected
             .iter()
             .zip(tag)
-            .fold(0, |sum, (a, b)| sum | (a ^ b));
+            .fold(0, |bits, (a, b)| bits | (a ^ b));
         if tag.len() != MAC_BYTES || difference != 0 {
             return Err(WireError::BadMac);
         }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Protocol between the processes of the system.
+//! Wire protocol between the processes of the system.
 //!
-//! Entries open TCP connections to agents and to other entries, and exchange UDP datagrams
-//! with both. Every frame and datagram is encoded with `postcard`, carries a version, a key id
-//! and a keyed MAC, and is limited in length before anything is allocated for it.
+//! Entries open TCP connections to agents and to other entries, and exchange UDP datagrams with
+//! both. The payload of every frame and datagram is encoded with `postcard`. Each one carries the
+//! protocol version, a key id and a MAC, and its length is checked against a limit before memory is
+//! allocated for it.
 
 pub mod answer;
 pub mod datagram;
@@ -36,6 +37,6 @@
 pub use session::SessionWriter;
 pub use session::establish;
 
-/// Version of the protocol; a process refuses connections and datagrams of another one. Version 2
-/// added headers to dispatches and to the heads of answers.
+/// Protocol version. A process rejects frames and datagrams of other versions. Version 2 added
+/// header fields to dispatches and answers.
 pub const PROTOCOL_VERSION: u16 = 2;
--- a/components/wire/src/liveness.rs
+++ b/components/wire/src/liveness.rs
@@ -1,19 +1,20 @@
-//! Whether the peer of a connection is still heard.
+//! Heartbeats that detect unresponsive connections.
 //!
-//! A connection can go silent for good while new ones work, so silence is found by heartbeats
-//! and not by the operating system, and is answered by a new connection.
+//! A connection can stop delivering data permanently while new connections to the same peer work,
+//! and the operating system may not report this. Silence is therefore detected by heartbeats, and
+//! the connection is replaced by a new one.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// What to do on a connection now.
+/// Action that the heartbeat state of a connection requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pulse {
-    /// Nothing.
+    /// No action.
     Fine,
     /// Send a ping.
     Ping,
-    /// Replace the connection.
+    /// The connection timed out; replace it.
     Silent,
 }
 
@@ -22,39 +23,40 @@
 pub struct Liveness {
     interval_ms: Duration,
     timeout_ms: Duration,
-    heard: Instant,
-    pinged: Option<Instant>,
+    last_received_at: Instant,
+    last_ping_at: Option<Instant>,
 }
 
 impl Liveness {
-    /// Pings after `interval_ms` without a frame; gives up after `timeout_ms`.
+    /// Requires a ping for every `interval_ms` without a received frame, and replacement of the
+    /// connection after `timeout_ms`.
     #[must_use]
     pub fn new(now: Instant, interval_ms: Duration, timeout_ms: Duration) -> Self {
         Self {
             interval_ms,
             timeout_ms,
-            heard: now,
-            pinged: None,
+            last_received_at: now,
+            last_ping_at: None,
         }
     }
 
-    /// A frame arrived.
+    /// Records that a frame was received.
     pub fn heard(&mut self, now: Instant) {
-        self.heard = now;
-        self.pinged = None;
+        self.last_received_at = now;
+        self.last_ping_at = None;
     }
 
-    /// Called on every tick.
+    /// Returns the action that is due; call this periodically.
     pub fn tick(&mut self, now: Instant) -> Pulse {
-        let quiet = now.saturating_duration_since(self.heard);
-        if quiet >= self.timeout_ms {
+        let silence = now.saturating_duration_since(self.last_received_at);
+        if silence >= self.timeout_ms {
             return Pulse::Silent;
         }
         let since_ping = self
-            .pinged
-            .map_or(quiet, |at| now.saturating_duration_since(at));
-        if quiet >= self.interval_ms && since_ping >= self.interval_ms {
-            self.pinged = Some(now);
+            .last_ping_at
+            .map_or(silence, |at| now.saturating_duration_since(at));
+        if silence >= self.interval_ms && since_ping >= self.interval_ms {
+            self.last_ping_at = Some(now);
             return Pulse::Ping;
         }
         Pulse::Fine
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between entries and agents, and between entries.
+//! Messages that entries and agents, and entries among each other, exchange over TCP.
 
 use std::time::Duration;
 
@@ -22,246 +22,248 @@
 
 use crate::answer::Digest;
 
-/// First frame from the end that opened a connection.
+/// First message from the end that opened the connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Run of the process that opened the connection.
+    /// Incarnation of the process that opened the connection.
     pub process: Incarnation,
-    /// Target or entry that it means to reach; a mismatch closes the connection.
+    /// Name of the target or entry that it intends to reach. A process with another name closes
+    /// the connection.
     pub to: String,
 }
 
-/// One attempt, as sent to an agent.
+/// Attempt that is dispatched to an agent.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
     /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Run of the agent that it is meant for; another run rejects it.
+    /// Incarnation of the agent that the attempt is addressed to; other incarnations reject it.
     pub incarnation: Incarnation,
-    /// Revision of the profile that the request is bound to.
+    /// Configuration revision that the request is bound to.
     pub revision: Revision,
-    /// Model, version and adapter that the request needs; empty fields ask for nothing.
+    /// Model, version and adapter that the request requires; empty fields require nothing.
     pub needs: Loaded,
-    /// Time left when it was sent.
+    /// Time until the deadline when the message was sent.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub deadline_ms: Duration,
-    /// 0 is served first.
+    /// Priority from the profile; 0 is served first.
     pub priority: u8,
-    /// Another attempt may follow this one.
+    /// Whether the request may be retried after this attempt.
     pub idempotent: bool,
-    /// Bytes of the answer that the agent may send before it gets more credit.
+    /// Initial flow control credit: bytes of the answer that the agent may send before it receives
+    /// more credit.
     pub credit_bytes: u32,
-    /// Work to do. Its body follows in `Body` frames when it is longer than one frame allows.
+    /// Request to run. A body that does not fit into the frame follows in `Body` messages.
     pub work: Work,
-    /// Length of the whole body.
+    /// Total length of the request body.
     pub body_bytes: u64,
 }
 
-/// Why an agent did not take an attempt. It was not run, and will not be.
+/// Reason why an agent rejected an attempt. A rejected attempt was not run and will not be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Rejection {
-    /// Drained, replaced or withdrawn.
+    /// The target is drained, replaced or withdrawn.
     Leaving,
-    /// The engine is away for a change or after a crash.
+    /// The engine is unavailable because of a model or role change or a crash.
     Away,
-    /// Too many attempts already.
+    /// The agent has reached its limit of concurrent attempts.
     Overloaded,
-    /// Meant for an earlier run of the agent.
+    /// The attempt is addressed to an earlier incarnation of the agent.
     WrongIncarnation,
-    /// The engine does not have what the request needs.
+    /// The engine has not loaded the model, version or adapter that the request requires.
     WrongModel,
-    /// The attempt was forbidden, or superseded by a later one.
+    /// The attempt was forbidden, or superseded by a later attempt.
     Forbidden,
     /// The deadline has passed.
     DeadlineExceeded,
-    /// The plain service or engine refused the connection before any byte was sent.
+    /// The connection to the engine or plain service failed before any byte was sent.
     Unreachable,
 }
 
-/// What an agent knows of an attempt that it was asked to forbid.
+/// State of an attempt that an agent was asked to forbid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForbidOutcome {
-    /// It was never started and never will be in this run of the agent.
+    /// The attempt was not started, and this incarnation of the agent will not start it.
     NeverRun,
-    /// It was started; its answer can be had with `Resume`.
+    /// The attempt was started; its answer can be requested with `Resume`.
     Started,
-    /// It was started and the outcome is lost.
+    /// The attempt was started, and its outcome is no longer known.
     Lost,
 }
 
-/// From an entry to an agent.
+/// Message from an entry to an agent.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// Opens the connection.
+    /// Identifies the process that opened the connection.
     Hello(Hello),
-    /// Run this.
+    /// Starts an attempt.
     Dispatch(Box<Dispatch>),
-    /// Next bytes of a dispatch's body.
+    /// Next part of a request body.
     Body {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
-        /// Next bytes.
+        /// Next bytes of the body.
         #[serde_as(as = "Bytes")]
         bytes: Vec<u8>,
     },
-    /// Send the answer again from an offset, on this connection.
+    /// Asks for the answer to be sent on this connection, starting at an offset.
     Resume {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
-        /// Bytes that the entry has.
+        /// Number of bytes that the entry has received.
         offset: u64,
-        /// New credit.
+        /// Flow control credit, counted from `offset`.
         credit_bytes: u32,
     },
-    /// All bytes up to the offset have arrived; more may be sent.
+    /// Acknowledges received bytes and grants flow control credit.
     Credit {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
-        /// Bytes that the entry has.
+        /// Number of bytes that the entry has received.
         received: u64,
-        /// More bytes that may be sent.
+        /// Additional bytes that the agent may send.
         bytes: u32,
     },
-    /// The answer is no longer wanted.
+    /// Cancels an attempt whose answer is no longer needed.
     Cancel {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
     },
-    /// Never start the attempt; tell whether it was started.
+    /// Prevents an attempt from being started, and asks whether it already was.
     Forbid {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
-        /// Run of the agent that the attempt was meant for.
+        /// Incarnation of the agent that the attempt was addressed to.
         incarnation: Incarnation,
     },
-    /// A new order stands in the table.
+    /// Announces a new order in the table.
     OrderHint {
         /// Number of the order.
         number: OrderNumber,
     },
-    /// Sign of life.
+    /// Heartbeat request.
     Ping {
-        /// Comes back in `Pong`.
+        /// Returned in `Pong`.
         nonce: u64,
     },
 }
 
-/// From an agent to an entry.
+/// Message from an agent to an entry.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
     /// Answers `Hello`.
     Welcome {
-        /// Target that the agent serves.
+        /// Target that the agent manages.
         target: TargetName,
-        /// Run of the agent.
+        /// Incarnation of the agent.
         incarnation: Incarnation,
-        /// Load now.
+        /// Current load.
         load: LoadReport,
     },
-    /// The attempt is in the agent's hands.
+    /// The agent has accepted the attempt.
     Accepted {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
     },
-    /// The attempt was not run and will not be.
+    /// The agent has rejected the attempt; it was not run and will not be.
     Rejected {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
-        /// Why.
+        /// Reason for the rejection.
         reason: Rejection,
-        /// Load now.
+        /// Current load.
         load: LoadReport,
     },
-    /// Head of the answer.
+    /// Status and header fields of the answer.
     Head {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
         /// HTTP status.
         status: u16,
-        /// Media type.
+        /// Media type of the answer.
         content_type: String,
-        /// Other fields that the caller gets.
+        /// Other header fields that are forwarded to the caller.
         headers: Headers,
     },
-    /// Next bytes of the answer.
+    /// Next part of the answer's body.
     Chunk {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
-        /// Position of the first byte.
+        /// Position of the first byte in the answer's body.
         offset: u64,
-        /// Bytes.
+        /// Content of this part.
         #[serde_as(as = "Bytes")]
         bytes: Vec<u8>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
-        /// Length of the whole answer.
+        /// Length of the answer's body.
         length: u64,
-        /// Digest of the whole answer.
+        /// Digest of the answer's body.
         digest: Digest,
-        /// Tokens used.
+        /// Token counts, as reported by the engine.
         usage: Usage,
-        /// Load now.
+        /// Current load.
         load: LoadReport,
     },
-    /// The attempt ended without a whole answer.
+    /// The attempt ended without a complete answer.
     Failed {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
-        /// Whether any part of it ran.
+        /// Whether any part of the attempt was run.
         run: RunState,
-        /// For the log.
+        /// Cause, for the log.
         detail: String,
     },
     /// Answers `Forbid`.
     Forbidden {
-        /// Attempt concerned.
+        /// Attempt that the message refers to.
         attempt: AttemptId,
-        /// What is known.
+        /// State of the attempt.
         outcome: ForbidOutcome,
     },
-    /// Load now, when nothing else carried it.
+    /// Current load, sent when no other message carried it.
     Load(LoadReport),
-    /// Changes in the prefix cache.
+    /// Changes in the engine's prefix cache.
     Cache(Vec<CacheEvent>),
     /// Answers `Ping`.
     Pong {
-        /// From the ping.
+        /// Nonce of the ping.
         nonce: u64,
-        /// Load now.
+        /// Current load.
         load: LoadReport,
     },
 }
 
-/// Between entries.
+/// Message between entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToPeer {
-    /// Opens the connection.
+    /// Identifies the process that opened the connection.
     Hello(Hello),
-    /// Asks for all changes after a revision; 0 asks for a snapshot. The answer may be a
-    /// snapshot in both cases.
+    /// Requests all changes after a revision, or a snapshot if the revision is 0. The answer may be
+    /// a snapshot in either case.
     ChangesAfter(Revision),
-    /// Changes in order, as JSON records of the change log.
+    /// Consecutive records of the change log.
     Changes {
-        /// Head revision of the sender.
+        /// Latest revision of the sender.
         head: Revision,
-        /// JSON of each `Change`.
+        /// One `Change` per item, as JSON.
         records: Vec<String>,
     },
-    /// One part of a snapshot; a snapshot may be longer than one frame allows.
+    /// Part of a snapshot; a snapshot may exceed the size limit of a frame.
     Snapshot {
         /// Revision of the snapshot.
         head: Revision,
-        /// Position of this part, from 0.
+        /// Index of this part, from 0.
         part: u32,
         /// Number of parts.
         parts: u32,
-        /// JSON of one `Change` for each item, in order of revision.
+        /// One `Change` per item, as JSON, ordered by revision.
         records: Vec<String>,
     },
 }
--- a/components/wire/src/session.rs
+++ b/components/wire/src/session.rs
@@ -1,7 +1,7 @@
-//! A TCP connection that carries frames.
+//! Sessions: TCP connections that carry frames.
 //!
-//! Opening exchange: each end sends 16 random bytes; together they are the nonce that every MAC
-//! covers. All later bytes are frames.
+//! In the handshake, each end sends 16 random bytes. Their concatenation is the nonce that every
+//! MAC covers. Everything after the handshake is frames.
 
 use std::fmt;
 use std::io;
@@ -20,19 +20,19 @@
 use crate::frame::FrameWriter;
 use crate::keys::Keyring;
 
-/// Random bytes that each end contributes.
+/// Number of random bytes that each end contributes to the nonce.
 pub const NONCE_BYTES: usize = 16;
-/// Read size; one read takes many small frames or most of a large one.
+/// Size of the read buffer; fits many small frames.
 const READ_BYTES: usize = 64 << 10;
-/// Frames are gathered up to this size before they are written.
+/// Size from which buffered frames are written without waiting for more of them.
 const WRITE_BATCH_BYTES: usize = 128 << 10;
 
-/// Why a connection ended.
+/// Reason why a session ended.
 #[derive(Debug)]
 pub enum SessionError {
     /// The socket failed.
     Io(io::Error),
-    /// The peer sent something that was refused.
+    /// A frame was rejected.
     Wire(WireError),
 }
 
@@ -40,7 +40,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(error) => write!(f, "connection failed: {error}"),
-            Self::Wire(error) => write!(f, "connection refused: {error}"),
+            Self::Wire(error) => write!(f, "frame rejected: {error}"),
         }
     }
 }
@@ -59,34 +59,34 @@
     }
 }
 
-/// End of a connection.
+/// Side of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// Opened the connection.
+    /// Side that opened the connection.
     Opener,
-    /// Accepted it.
+    /// Side that accepted the connection.
     Acceptor,
 }
 
-/// Receiving half.
+/// Receiving half of a session.
 pub struct SessionReader<R> {
     stream: R,
     frames: FrameReader,
     buffer: Vec<u8>,
 }
 
-/// Sending half.
+/// Sending half of a session.
 pub struct SessionWriter<W> {
     stream: W,
     frames: FrameWriter,
     buffer: Vec<u8>,
 }
 
-/// Does the opening exchange. The caller bounds its time.
+/// Performs the handshake. It has no timeout of its own.
 ///
 /// # Errors
 ///
-/// `Io` if the socket fails or the peer closes it.
+/// Returns `Io` if the socket fails or the peer closes it.
 pub async fn establish<S>(
     mut stream: S,
     end: End,
@@ -97,38 +97,39 @@
     S: AsyncRead + AsyncWrite + Clone + Unpin,
 {
     stream.write_all(&random).await?;
-    let mut theirs = [0; NONCE_BYTES];
-    stream.read_exact(&mut theirs).await?;
+    let mut peer_random = [0; NONCE_BYTES];
+    stream.read_exact(&mut peer_random).await?;
     let (first, second) = match end {
-        End::Opener => (random, theirs),
-        End::Acceptor => (theirs, random),
+        End::Opener => (random, peer_random),
+        End::Acceptor => (peer_random, random),
     };
     let mut nonce: ConnectionNonce = [0; 2 * NONCE_BYTES];
     nonce[..NONCE_BYTES].copy_from_slice(&first);
     nonce[NONCE_BYTES..].copy_from_slice(&second);
-    let (ours, peers) = match end {
+    let (own_direction, peer_direction) = match end {
         End::Opener => (0, 1),
         End::Acceptor => (1, 0),
     };
     let reader = SessionReader {
         stream: stream.clone(),
-        frames: FrameReader::new(keys.clone(), nonce, peers),
+        frames: FrameReader::new(keys.clone(), nonce, peer_direction),
         buffer: vec![0; READ_BYTES],
     };
     let writer = SessionWriter {
         stream,
-        frames: FrameWriter::new(keys.clone(), nonce, ours),
+        frames: FrameWriter::new(keys.clone(), nonce, own_direction),
         buffer: Vec::new(),
     };
     Ok((reader, writer))
 }
 
 impl<R: AsyncRead + Unpin> SessionReader<R> {
-    /// Next message; `None` when the peer closed the connection between frames.
+    /// Receives the next message. Returns `None` if the peer closed the connection between frames.
     ///
     /// # Errors
     ///
-    /// `Io` if the socket fails, `Wire` if a frame is refused. The connection is of no use then.
+    /// Returns `Io` if the socket fails and `Wire` if a frame is rejected. The connection must then
+    /// be closed.
     pub async fn next_message<M: DeserializeOwned>(&mut self) -> Result<Option<M>, SessionError> {
         loop {
             if let Some(message) = self.frames.next_message()? {
@@ -147,21 +148,21 @@
 }
 
 impl<W: AsyncWrite + Unpin> SessionWriter<W> {
-    /// Sends one message.
+    /// Sends a message.
     ///
     /// # Errors
     ///
-    /// `Io` if the socket fails, `Wire` if the message is too long.
+    /// Returns `Io` if the socket fails and `Wire` if the message is too long.
     pub async fn send(&mut self, message: &impl Serialize) -> Result<(), SessionError> {
         self.frames.write(message, &mut self.buffer)?;
         self.flush().await
     }
 
-    /// Sends messages from a channel, many in one write, until the channel is closed.
+    /// Sends messages from a channel until the channel is closed, batching them into few writes.
     ///
     /// # Errors
     ///
-    /// `Io` if the socket fails, `Wire` if a message is too long.
+    /// Returns `Io` if the socket fails and `Wire` if a message is too long.
     pub async fn send_all<M: Serialize>(
         &mut self,
         messages: Receiver<M>,
--- a/components/wire/tests/decoders.rs
+++ b/components/wire/tests/decoders.rs
@@ -1,6 +1,7 @@
-//! Random and mutated payloads with a valid MAC, as a peer with the key could send them.
+//! Decoding of random and mutated payloads with a valid MAC, as a faulty peer that has the key
+//! could send them.
 //!
-//! Without a valid MAC an input ends at the check and does not reach the decoder of messages.
+//! Input without a valid MAC is rejected before it reaches the message decoder.
 //! `QUICKCHECK_TESTS` sets the number of inputs for each property.
 
 use serde::Serialize;
@@ -24,13 +25,13 @@
 const NONCE: [u8; 32] = [7; 32];
 const SECRET: [u8; 32] = [1; 32];
 const DEFAULT_CASES: u64 = 5_000;
-/// Elements of a sequence that a length field announces: 2^60 as a postcard varint.
+/// Length field that announces 2^60 elements, as a postcard varint.
 const HUGE_LENGTH: [u8; 9] = [0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x10];
 
-/// Bytes that are encoded as they are, without a length.
-struct Raw(Vec<u8>);
+/// Bytes that are serialized unchanged, without a length prefix.
+struct RawPayload(Vec<u8>);
 
-impl Serialize for Raw {
+impl Serialize for RawPayload {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut tuple = serializer.serialize_tuple(self.0.len())?;
         for byte in &self.0 {
@@ -48,21 +49,23 @@
     Keyring::new(vec![key]).expect("one key")
 }
 
-fn frame(payload: Vec<u8>) -> Vec<u8> {
+fn encode_frame(payload: Vec<u8>) -> Vec<u8> {
     let mut out = Vec::new();
     let mut writer = FrameWriter::new(keyring(), NONCE, 1);
-    writer.write(&Raw(payload), &mut out).expect("fits a frame");
+    writer
+        .write(&RawPayload(payload), &mut out)
+        .expect("fits a frame");
     out
 }
 
-fn read<M: DeserializeOwned>(payload: Vec<u8>) -> Result<Option<M>, WireError> {
+fn decode_frame<M: DeserializeOwned>(payload: Vec<u8>) -> Result<Option<M>, WireError> {
     let mut reader = FrameReader::new(keyring(), NONCE, 1);
-    reader.push(&frame(payload));
+    reader.push(&encode_frame(payload));
     reader.next_message()
 }
 
 /// Signs a payload as `Datagram::encode` does.
-fn datagram(payload: &[u8]) -> Vec<u8> {
+fn encode_datagram(payload: &[u8]) -> Vec<u8> {
     let mut out = wire::PROTOCOL_VERSION.to_le_bytes().to_vec();
     out.push(1);
     let tag = keyring().sign(&[&out, payload]);
@@ -71,20 +74,21 @@
     out
 }
 
-fn survives(payload: &[u8]) -> bool {
-    let ends =
+/// Whether every decoder accepts the payload or returns a decoding error.
+fn decodes_or_fails_cleanly(payload: &[u8]) -> bool {
+    let is_expected =
         |outcome: Result<bool, WireError>| matches!(outcome, Ok(true) | Err(WireError::Malformed));
-    let datagram = Datagram::decode(&datagram(payload), &keyring());
-    ends(read::<ToAgent>(payload.to_vec()).map(|message| message.is_some()))
-        && ends(read::<ToEntry>(payload.to_vec()).map(|message| message.is_some()))
-        && ends(read::<ToPeer>(payload.to_vec()).map(|message| message.is_some()))
+    let datagram = Datagram::decode(&encode_datagram(payload), &keyring());
+    is_expected(decode_frame::<ToAgent>(payload.to_vec()).map(|message| message.is_some()))
+        && is_expected(decode_frame::<ToEntry>(payload.to_vec()).map(|message| message.is_some()))
+        && is_expected(decode_frame::<ToPeer>(payload.to_vec()).map(|message| message.is_some()))
         && matches!(
             datagram,
             Ok(_) | Err(WireError::Malformed | WireError::TooLong { .. })
         )
 }
 
-fn check(property: fn(Vec<u8>, Vec<(usize, u8)>) -> bool) {
+fn check_property(property: fn(Vec<u8>, Vec<(usize, u8)>) -> bool) {
     seeded::check()
         .tests(seeded::cases(DEFAULT_CASES))
         .quickcheck(property);
@@ -144,55 +148,70 @@
     ]
 }
 
-/// Guards against a signed payload that panics in a decoder.
+/// Guards against decoders that panic on a payload with a valid MAC.
 #[test]
-fn random_signed_payloads_give_typed_errors() {
-    check(|mut payload, changes| {
-        // The first byte selects the message; most of 256 values select none.
-        if let (Some(first), Some((_, kind))) = (payload.first_mut(), changes.first()) {
-            *first = kind % 16;
+fn random_signed_payloads_decode_or_give_typed_errors() {
+    check_property(|mut payload, changes| {
+        // The first byte selects the variant; most of its 256 values select none.
+        if let (Some(first), Some((_, variant))) = (payload.first_mut(), changes.first()) {
+            *first = variant % 16;
         }
-        survives(&payload)
+        decodes_or_fails_cleanly(&payload)
     });
 }
 
-/// Guards against damage in any field of a real message, lengths included.
+/// Guards against decoders that panic on a corrupted field of a valid message, lengths included.
 #[test]
-fn mutated_signed_messages_give_typed_errors() {
-    check(|tail, changes| {
+fn mutated_signed_messages_decode_or_give_typed_errors() {
+    check_property(|tail, changes| {
         valid_payloads().into_iter().all(|mut payload| {
             for (at, byte) in &changes {
                 let at = at % payload.len();
                 payload[at] = *byte;
             }
             payload.extend(&tail);
-            survives(&payload)
+            decodes_or_fails_cleanly(&payload)
         })
     });
 }
 
-/// Guards against properties that hold because no payload gets past the check of the MAC.
+/// Guards against the other tests passing only because every payload is rejected for its MAC.
 #[test]
-fn unchanged_payloads_are_accepted() {
-    let all = valid_payloads();
-    assert!(matches!(read::<ToAgent>(all[0].clone()), Ok(Some(_))));
-    assert!(matches!(read::<ToAgent>(all[1].clone()), Ok(Some(_))));
-    assert!(matches!(read::<ToEntry>(all[2].clone()), Ok(Some(_))));
-    assert!(matches!(read::<ToPeer>(all[3].clone()), Ok(Some(_))));
-    assert!(Datagram::decode(&datagram(&all[4]), &keyring()).is_ok());
-    assert!(matches!(read::<ToEntry>(all[5].clone()), Ok(Some(_))));
+fn valid_payloads_are_accepted() {
+    let payloads = valid_payloads();
+    assert!(matches!(
+        decode_frame::<ToAgent>(payloads[0].clone()),
+        Ok(Some(_))
+    ));
+    assert!(matches!(
+        decode_frame::<ToAgent>(payloads[1].clone()),
+        Ok(Some(_))
+    ));
+    assert!(matches!(
+        decode_frame::<ToEntry>(payloads[2].clone()),
+        Ok(Some(_))
+    ));
+    assert!(matches!(
+        decode_frame::<ToPeer>(payloads[3].clone()),
+        Ok(Some(_))
+    ));
+    assert!(Datagram::decode(&encode_datagram(&payloads[4]), &keyring()).is_ok());
+    assert!(matches!(
+        decode_frame::<ToEntry>(payloads[5].clone()),
+        Ok(Some(_))
+    ));
 }
 
-/// Guards against bytes before the check of the MAC that panic, or that are held without bound.
+/// Guards against input without a valid MAC that causes a panic or unbounded buffering.
 #[test]
-fn unsigned_bytes_give_typed_errors() {
-    check(|bytes, changes| {
-        let mut damaged = frame(bytes.clone());
+fn unsigned_bytes_do_not_panic_and_are_buffered_within_bounds() {
+    check_property(|bytes, changes| {
+        let mut corrupted = encode_frame(bytes.clone());
         for (at, byte) in changes {
-            let at = at % damaged.len();
-            damaged[at] = byte;
+            let at = at % corrupted.len();
+            corrupted[at] = byte;
         }
-        [bytes, damaged].iter().all(|bytes| {
+        [bytes, corrupted].iter().all(|bytes| {
             let mut reader = FrameReader::new(keyring(), NONCE, 1);
             reader.push(bytes);
             while matches!(reader.next_message::<ToAgent>(), Ok(Some(_))) {}
@@ -202,16 +221,19 @@
     });
 }
 
-/// Guards against memory reserved for what a sequence only announces. An allocation for 2^60
-/// elements aborts the process.
+/// Guards against memory being allocated for the announced length of a sequence. An allocation for
+/// 2^60 elements aborts the process.
 #[test]
-fn huge_announced_lengths_reserve_no_memory() {
-    for kind in 0..16 {
+fn huge_announced_lengths_allocate_no_memory() {
+    for variant in 0..16 {
         for fields in 0..8 {
-            let mut payload = vec![kind];
+            let mut payload = vec![variant];
             payload.extend(std::iter::repeat_n(1, fields));
             payload.extend(HUGE_LENGTH);
-            assert!(survives(&payload), "message {kind} after {fields} bytes");
+            assert!(
+                decodes_or_fails_cleanly(&payload),
+                "message variant {variant}, length after {fields} bytes"
+            );
         }
     }
 }
--- a/components/wire/tests/frames.rs
+++ b/components/wire/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Frames and datagrams: whole messages come through, anything else gives a typed error.
+//! Encoding of frames and datagrams: valid input decodes to the same messages, any other input
+//! gives a typed error.
 
 use quickcheck::TestResult;
 use types::AttemptId;
@@ -33,7 +34,7 @@
     }
 }
 
-fn encoded(messages: &[ToEntry], keys: &Keyring) -> Vec<u8> {
+fn encode(messages: &[ToEntry], keys: &Keyring) -> Vec<u8> {
     let mut writer = FrameWriter::new(keys.clone(), NONCE, 1);
     let mut out = Vec::new();
     for message in messages {
@@ -42,11 +43,11 @@
     out
 }
 
-fn decoded(bytes: &[u8], piece_bytes: usize, keys: &Keyring) -> Result<Vec<ToEntry>, WireError> {
+fn decode(bytes: &[u8], read_bytes: usize, keys: &Keyring) -> Result<Vec<ToEntry>, WireError> {
     let mut reader = FrameReader::new(keys.clone(), NONCE, 1);
     let mut messages = Vec::new();
-    for piece in bytes.chunks(piece_bytes.max(1)) {
-        reader.push(piece);
+    for part in bytes.chunks(read_bytes.max(1)) {
+        reader.push(part);
         while let Some(message) = reader.next_message()? {
             messages.push(message);
         }
@@ -54,34 +55,34 @@
     Ok(messages)
 }
 
-/// Guards against frames being lost or joined at the borders of socket reads.
+/// Guards against frames that are lost or merged when a socket read ends within a frame.
 #[test]
-fn decodes_frames_split_at_any_place() {
-    fn property(bodies: Vec<Vec<u8>>, piece_bytes: u8) -> bool {
+fn decodes_frames_split_at_any_position() {
+    fn property(bodies: Vec<Vec<u8>>, read_bytes: u8) -> bool {
         let keys = keyring(&[1]);
         let messages: Vec<ToEntry> = bodies
             .into_iter()
             .zip(0..)
             .map(|(body, offset)| chunk(offset, body))
             .collect();
-        let bytes = encoded(&messages, &keys);
-        decoded(&bytes, usize::from(piece_bytes), &keys) == Ok(messages)
+        let bytes = encode(&messages, &keys);
+        decode(&bytes, usize::from(read_bytes), &keys) == Ok(messages)
     }
     seeded::check().quickcheck(property as fn(Vec<Vec<u8>>, u8) -> bool);
 }
 
-/// Guards against forged or damaged frames being taken for genuine ones.
+/// Guards against forged or corrupted frames being accepted.
 #[test]
-fn refuses_every_frame_with_a_changed_byte() {
+fn rejects_frames_with_a_changed_byte() {
     fn property(body: Vec<u8>, position: usize, mask: u8) -> TestResult {
         if mask == 0 {
             return TestResult::discard();
         }
         let keys = keyring(&[1]);
-        let mut bytes = encoded(&[chunk(0, body)], &keys);
+        let mut bytes = encode(&[chunk(0, body)], &keys);
         let position = position % bytes.len();
         bytes[position] ^= mask;
-        let accepted = decoded(&bytes, bytes.len(), &keys).is_ok_and(|all| !all.is_empty());
+        let accepted = decode(&bytes, bytes.len(), &keys).is_ok_and(|all| !all.is_empty());
         TestResult::from_bool(!accepted)
     }
     seeded::check()
@@ -89,16 +90,17 @@
         .quickcheck(property as fn(Vec<u8>, usize, u8) -> TestResult);
 }
 
-/// Guards against a decoder that panics or allocates for what a length field only announces.
+/// Guards against decoders that panic, or that allocate memory for an announced length before the
+/// bytes arrive.
 #[test]
-fn survives_random_bytes_with_bounded_memory() {
+fn rejects_random_bytes_with_bounded_memory() {
     fn property(bytes: Vec<u8>) -> bool {
         let keys = keyring(&[1]);
         let mut reader = FrameReader::new(keys.clone(), NONCE, 0);
         reader.push(&bytes);
         let outcome = reader.next_message::<ToAgent>();
-        let genuine = matches!(outcome, Ok(Some(_)));
-        !genuine
+        let is_accepted = matches!(outcome, Ok(Some(_)));
+        !is_accepted
             && reader.buffered_bytes() <= bytes.len()
             && Datagram::decode(&bytes, &keys).is_err()
     }
@@ -107,9 +109,9 @@
         .quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
-/// Guards against a peer that makes the reader wait for, and hold, an endless frame.
+/// Guards against a peer that makes the reader buffer a frame of unlimited length.
 #[test]
-fn refuses_a_length_above_the_limit_before_its_bytes_arrive() {
+fn rejects_a_length_above_the_limit_before_its_bytes_arrive() {
     let mut reader = FrameReader::new(keyring(&[1]), NONCE, 0);
     reader.push(&u32::MAX.to_le_bytes());
     assert_eq!(
@@ -121,14 +123,14 @@
     );
 }
 
-/// Guards against replay: the same bytes again, on this connection or on another one.
+/// Guards against replayed frames, both on the same and on another connection.
 #[test]
-fn refuses_a_replayed_frame() {
+fn rejects_a_replayed_frame() {
     let keys = keyring(&[1]);
-    let bytes = encoded(&[chunk(0, vec![1])], &keys);
+    let bytes = encode(&[chunk(0, vec![1])], &keys);
     let twice = [bytes.clone(), bytes.clone()].concat();
     assert_eq!(
-        decoded(&twice, twice.len(), &keys),
+        decode(&twice, twice.len(), &keys),
         Err(WireError::OutOfSequence)
     );
 
@@ -137,20 +139,21 @@
     assert_eq!(other.next_message::<ToEntry>(), Err(WireError::BadMac));
 }
 
-/// Guards against a cut during key rotation, and against a key that was taken out of use.
+/// Guards against frames that are rejected during a key rotation, and against removed keys that are
+/// still accepted.
 #[test]
-fn accepts_both_keys_during_a_rotation_and_no_removed_key() {
+fn accepts_both_keys_during_a_rotation_and_rejects_removed_keys() {
     let old_first = keyring(&[1, 2]);
     let new_first = keyring(&[2, 1]);
-    let bytes = encoded(&[chunk(0, vec![1])], &old_first);
-    assert!(decoded(&bytes, bytes.len(), &new_first).is_ok());
+    let bytes = encode(&[chunk(0, vec![1])], &old_first);
+    assert!(decode(&bytes, bytes.len(), &new_first).is_ok());
     assert_eq!(
-        decoded(&bytes, bytes.len(), &keyring(&[2])),
+        decode(&bytes, bytes.len(), &keyring(&[2])),
         Err(WireError::UnknownKey(1))
     );
 }
 
-/// Guards against a message that the peer would refuse being sent in part.
+/// Guards against partial writes of a message that exceeds the frame limit.
 #[test]
 fn writes_nothing_for_a_message_above_the_limit() {
     let mut writer = FrameWriter::new(keyring(&[1]), NONCE, 1);
--- a/components/wire/tests/liveness.rs
+++ b/components/wire/tests/liveness.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: silence is noticed in time, and traffic counts as a sign of life.
+//! Heartbeats: an unresponsive connection is detected in time, and any received frame resets the
+//! timeout.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,21 +11,21 @@
 const TIMEOUT: Duration = Duration::from_secs(2);
 const STEP: Duration = Duration::from_millis(100);
 
-/// Guards against a dead connection being kept, and a live one being replaced.
+/// Guards against unresponsive connections that are kept, and working ones that are replaced.
 #[test]
-fn reports_silence_exactly_after_the_timeout() {
-    fn property(heard_at_steps: Vec<u8>) -> bool {
+fn reports_silence_exactly_from_the_timeout_on() {
+    fn property(received_at_steps: Vec<u8>) -> bool {
         let start = Instant::now();
         let mut liveness = Liveness::new(start, INTERVAL, TIMEOUT);
-        let mut last = start;
+        let mut last_received_at = start;
         for step in 0..=u8::MAX {
             let now = start + STEP * u32::from(step);
-            if heard_at_steps.contains(&step) {
+            if received_at_steps.contains(&step) {
                 liveness.heard(now);
-                last = now;
+                last_received_at = now;
             }
-            let silent = liveness.tick(now) == Pulse::Silent;
-            if silent != (now - last >= TIMEOUT) {
+            let is_silent = liveness.tick(now) == Pulse::Silent;
+            if is_silent != (now - last_received_at >= TIMEOUT) {
                 return false;
             }
         }
@@ -33,7 +34,7 @@
     seeded::check().quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
-/// Guards against a flood of pings on a quiet connection.
+/// Guards against a ping on every tick of an idle connection.
 #[test]
 fn pings_once_per_interval() {
     let start = Instant::now();
--- a/components/wire/tests/session.rs
+++ b/components/wire/tests/session.rs
@@ -1,4 +1,4 @@
-//! Sessions over a real loopback connection.
+//! Sessions over a loopback TCP connection.
 
 use smol::net::TcpListener;
 use smol::net::TcpStream;
@@ -37,16 +37,16 @@
     received
 }
 
-/// Guards against the two ends deriving different nonces.
+/// Guards against the two ends deriving different nonces, which makes every MAC check fail.
 #[test]
-fn carries_a_message_between_ends_with_the_same_key() {
+fn delivers_a_message_between_ends_with_the_same_key() {
     let message = smol::block_on(exchange(1)).expect("delivered");
     assert_eq!(message, Some(ToAgent::Ping { nonce: 42 }));
 }
 
-/// Guards against unauthenticated peers.
+/// Guards against peers being accepted without the shared key.
 #[test]
-fn refuses_a_peer_with_another_key() {
-    let error = smol::block_on(exchange(2)).expect_err("refused");
+fn rejects_a_peer_with_another_key() {
+    let error = smol::block_on(exchange(2)).expect_err("rejected");
     assert!(matches!(error, SessionError::Wire(WireError::BadMac)));
 }
