--- a/components/store/src/budget.rs
+++ b/components/store/src/budget.rs
@@ -34,8 +34,8 @@
 /// Token buckets for reads and writes.
 #[derive(Debug)]
 pub struct RateBudget {
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
     max_wait_ms: Duration,
 }
 
@@ -44,8 +44,8 @@
     #[must_use]
     pub fn new(options: &BudgetOptions, now: Instant) -> Self {
         Self {
-            reads: Bucket::new(options.reads_per_s, options.burst_s, now),
-            writes: Bucket::new(options.writes_per_s, options.burst_s, now),
+            reads: TokenBucket::new(options.reads_per_s, options.burst_s, now),
+            writes: TokenBucket::new(options.writes_per_s, options.burst_s, now),
             max_wait_ms: options.max_wait_ms,
         }
     }
@@ -64,14 +64,14 @@
 /// Token bucket. The number of tokens is negative while calls wait for tokens that they have
 /// already taken.
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     rate_per_s: f64,
     capacity: f64,
     tokens: Cell<f64>,
     refilled_at: Cell<Instant>,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate_per_s: f64, burst_s: f64, now: Instant) -> Self {
         let rate_per_s = rate_per_s.max(0.001);
         let capacity = (rate_per_s * burst_s).max(1.0);
