--- a/components/store/tests/guarded.rs
+++ b/components/store/tests/guarded.rs
@@ -121,8 +121,8 @@
 }
 
 quickcheck! {
-    /// Guards against a commit that is reported as failed, a failed one that is reported as
-    /// committed, and one that takes effect twice.
+    /// Guards against a commit that took effect and is reported as failed, one that failed and is
+    /// reported as committed, and one that takes effect twice.
     fn reported_outcome_of_a_commit_is_correct(
         calls: Vec<Vec<ArbitraryFault>>,
         writes: Vec<bool>
--- a/components/types/src/headers.rs
+++ b/components/types/src/headers.rs
@@ -36,9 +36,9 @@
     /// More than `HEADER_BYTES_LIMIT` bytes.
     TooLong,
     /// A name is not a lower-case HTTP token.
-    Name,
+    InvalidName,
     /// A value contains a byte other than printable ASCII, space and tab.
-    Value,
+    InvalidValue,
 }
 
 impl fmt::Display for HeadersError {
@@ -46,8 +46,8 @@
         match self {
             Self::TooMany => write!(f, "more than {HEADER_COUNT_LIMIT} header fields"),
             Self::TooLong => write!(f, "header fields exceed {HEADER_BYTES_LIMIT} bytes"),
-            Self::Name => f.write_str("a header field name is not a lower-case HTTP token"),
-            Self::Value => f.write_str(
+            Self::InvalidName => f.write_str("a header field name is not a lower-case HTTP token"),
+            Self::InvalidValue => f.write_str(
                 "a header field value has a byte other than printable ASCII, space and tab",
             ),
         }
@@ -88,10 +88,10 @@
         }
         for header in &headers {
             if header.name.is_empty() || !header.name.bytes().all(is_name_byte) {
-                return Err(HeadersError::Name);
+                return Err(HeadersError::InvalidName);
             }
             if !header.value.bytes().all(is_value_byte) {
-                return Err(HeadersError::Value);
+                return Err(HeadersError::InvalidValue);
             }
         }
         Ok(Self(headers))
