--- a/components/standin/src/engine/cache.rs
+++ b/components/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache of the stand-in engine, with events that come late and with gaps.
+//! Prefix cache of the stand-in engine, with delayed and omitted events.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -7,13 +7,14 @@
 
 use types::CacheEvent;
 
-/// Events kept for readers.
+/// Maximum number of events kept for readers.
 const EVENT_LIMIT: usize = 65_536;
 
-/// Least recently used cache pieces.
+/// LRU cache of pieces, each identified by the hash of the prompt prefix that it ends.
 pub struct PrefixCache {
     limit: usize,
-    used: HashMap<u64, u64>,
+    last_uses: HashMap<u64, u64>,
+    /// Logical clock, incremented by each use of a piece.
     clock: u64,
     events: VecDeque<(Instant, CacheEvent)>,
     sequence: u64,
@@ -21,11 +22,11 @@
 }
 
 impl PrefixCache {
-    /// Holds `limit` pieces; every `gap`-th event is left out.
+    /// Holds up to `limit` pieces; every `gap`-th event is omitted, none if `gap` is 0.
     pub fn new(limit: usize, gap: u64) -> Self {
         Self {
             limit,
-            used: HashMap::new(),
+            last_uses: HashMap::new(),
             clock: 0,
             events: VecDeque::new(),
             sequence: 0,
@@ -33,44 +34,44 @@
         }
     }
 
-    /// Takes the pieces of a prompt; returns how many of its first pieces were there.
-    pub fn touch(&mut self, now: Instant, pieces: &[u64]) -> u32 {
-        let found = pieces
+    /// Inserts or refreshes the pieces of a prompt; returns how many leading pieces were cached.
+    pub fn insert(&mut self, now: Instant, pieces: &[u64]) -> u32 {
+        let hits = pieces
             .iter()
-            .take_while(|piece| self.used.contains_key(piece))
+            .take_while(|piece| self.last_uses.contains_key(piece))
             .count();
         for piece in pieces {
             self.clock += 1;
-            if self.used.insert(*piece, self.clock).is_none() {
+            if self.last_uses.insert(*piece, self.clock).is_none() {
                 self.publish(now, *piece, true);
             }
         }
-        while self.used.len() > self.limit {
-            let oldest = self.used.iter().min_by_key(|(_, used)| **used);
+        while self.last_uses.len() > self.limit {
+            let oldest = self.last_uses.iter().min_by_key(|(_, last_use)| **last_use);
             let Some(piece) = oldest.map(|(piece, _)| *piece) else {
                 break;
             };
-            self.used.remove(&piece);
+            self.last_uses.remove(&piece);
             self.publish(now, piece, false);
         }
-        u32::try_from(found).unwrap_or(u32::MAX)
+        u32::try_from(hits).unwrap_or(u32::MAX)
     }
 
-    /// Share in use, in thousandths.
+    /// Share of the capacity in use, in thousandths.
     pub fn used_permille(&self) -> u16 {
-        let permille = self.used.len() * 1000 / self.limit.max(1);
+        let permille = self.last_uses.len() * 1000 / self.limit.max(1);
         u16::try_from(permille).unwrap_or(1000)
     }
 
-    /// Drops all pieces, as a load or a crash does.
+    /// Evicts all pieces, as a model load or a crash does.
     pub fn clear(&mut self, now: Instant) {
-        let pieces: Vec<u64> = self.used.drain().map(|(piece, _)| piece).collect();
+        let pieces: Vec<u64> = self.last_uses.drain().map(|(piece, _)| piece).collect();
         for piece in pieces {
             self.publish(now, piece, false);
         }
     }
 
-    /// Events after a sequence number that are at least as old as the lag.
+    /// Events after a sequence number that are at least `lag_ms` old.
     pub fn events(&self, now: Instant, after: u64, lag_ms: Duration) -> Vec<CacheEvent> {
         self.events
             .iter()
--- a/components/standin/src/engine/completions.rs
+++ b/components/standin/src/engine/completions.rs
@@ -1,4 +1,5 @@
-//! Completions: prefill in turns by priority, then one token after the other.
+//! Simulates completions: prefill runs one request at a time by priority, then each request decodes
+//! token by token.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,57 +12,57 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::answers;
 use crate::engine::resume::Progress;
 use crate::engine::state::EngineCore;
-use crate::engine::state::take;
+use crate::engine::state::consume_fault;
 use crate::engine::text::CompletionRequest;
-use crate::engine::text::PIECE_TOKENS;
+use crate::engine::text::TOKENS_PER_PIECE;
 use crate::engine::text::body_digest;
-use crate::engine::text::pieces;
+use crate::engine::text::prefix_hashes;
 use crate::engine::text::prompt_tokens;
 use crate::engine::text::token;
-use crate::turns::Turns;
-use crate::turns::parse_priority;
+use crate::priority_lock::PriorityLock;
+use crate::priority_lock::parse_priority;
+use crate::responses;
 
 const EVENT_STREAM: &str = "text/event-stream";
 const JSON: &str = "application/json";
-/// Longest wait without a look at cancellation, crash and the caller.
-const SLICE_MS: Duration = Duration::from_millis(20);
+/// Interval at which a waiting run checks for cancellation, a crash and a disconnected client.
+const CHECK_INTERVAL_MS: Duration = Duration::from_millis(20);
 
-/// Why a run ended without an answer.
+/// Why a run ended early.
 enum Stopped {
-    /// Cancelled, crashed, changed or cut by a fault.
-    Ended,
-    /// The caller hung up.
-    HungUp,
+    /// Ended by a cancellation, a crash, an accepted order or an injected fault.
+    Terminated,
+    /// The client disconnected and nobody resumed the response.
+    Disconnected,
 }
 
 impl From<HungUp> for Stopped {
     fn from(_: HungUp) -> Self {
-        Self::HungUp
+        Self::Disconnected
     }
 }
 
-/// A run, which leaves the engine's books when it is dropped.
+/// An active run. Dropping it removes it from the engine's state and load.
 struct Run {
     core: Rc<RefCell<EngineCore>>,
     number: u64,
     epoch: u64,
     id: String,
     digest: u64,
-    prefill_left: u64,
-    decode_left: u64,
+    prefill_left_tokens: u64,
+    decode_left_tokens: u64,
     progress: Rc<Progress>,
 }
 
 impl Drop for Run {
     fn drop(&mut self) {
-        self.progress.ended.set(true);
+        self.progress.is_ended.set(true);
         let mut core = self.core.borrow_mut();
-        core.running.remove(&self.number);
-        core.prefill_backlog_tokens -= self.prefill_left;
-        core.decode_backlog_tokens -= self.decode_left;
+        core.active_runs.remove(&self.number);
+        core.prefill_backlog_tokens -= self.prefill_left_tokens;
+        core.decode_backlog_tokens -= self.decode_left_tokens;
     }
 }
 
@@ -69,110 +70,112 @@
     fn is_stopped(&self) -> bool {
         let core = self.core.borrow();
         let is_cancelled = core
-            .running
+            .active_runs
             .get(&self.number)
-            .is_none_or(|(_, cancelled)| *cancelled);
-        is_cancelled || core.epoch != self.epoch || core.crashed
+            .is_none_or(|(_, is_cancelled)| *is_cancelled);
+        is_cancelled || core.epoch != self.epoch || core.is_crashed
     }
 
     async fn wait(&self, exchange: &mut Exchange, total: Duration) -> Result<(), Stopped> {
-        let until = Instant::now() + total;
+        let deadline = Instant::now() + total;
         loop {
             if self.is_stopped() {
-                return Err(Stopped::Ended);
+                return Err(Stopped::Terminated);
             }
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Ok(());
             }
-            let slice = smol::Timer::after(left.min(SLICE_MS));
+            let timer = smol::Timer::after(left.min(CHECK_INTERVAL_MS));
             if self.progress.is_detached() {
                 if self.progress.is_abandoned() {
-                    return Err(Stopped::HungUp);
+                    return Err(Stopped::Disconnected);
                 }
-                slice.await;
-            } else if exchange.or_hang_up(slice).await.is_err() {
+                timer.await;
+            } else if exchange.or_hang_up(timer).await.is_err() {
                 self.detach()?;
             }
         }
     }
 
-    /// Goes on without the connection if the answer can be resumed.
+    /// Continues without the connection if the response can be resumed.
     fn detach(&self) -> Result<(), Stopped> {
         if self.id.is_empty() {
-            return Err(Stopped::HungUp);
+            return Err(Stopped::Disconnected);
         }
         self.progress.detach();
         Ok(())
     }
 
-    /// Sends the next part of the answer if there is a connection.
+    /// Sends the next part of the response if the client is still connected.
     async fn send(&self, part: Part<'_>, exchange: &mut Exchange) -> Result<(), Stopped> {
         if self.progress.is_detached() {
             return Ok(());
         }
-        let sent = match part {
-            Part::Head => exchange.start(answers::head(200, EVENT_STREAM)).await,
+        let result = match part {
+            Part::Head => exchange.start(responses::head(200, EVENT_STREAM)).await,
             Part::Event(event) => exchange.write(event.as_bytes()).await,
             Part::End(end) => match exchange.write(end.as_bytes()).await {
                 Ok(()) => exchange.finish().await,
-                broken => broken,
+                error => error,
             },
-            Part::Whole(body) => {
-                let head = answers::head(200, JSON);
+            Part::Complete(body) => {
+                let head = responses::head(200, JSON);
                 exchange.respond(head, body.as_bytes()).await
             }
         };
-        sent.or_else(|_| self.detach())
+        result.or_else(|_| self.detach())
     }
 
-    fn prefilled(&mut self) {
-        self.core.borrow_mut().prefill_backlog_tokens -= self.prefill_left;
-        self.prefill_left = 0;
+    fn finish_prefill(&mut self) {
+        self.core.borrow_mut().prefill_backlog_tokens -= self.prefill_left_tokens;
+        self.prefill_left_tokens = 0;
     }
 
-    fn decoded(&mut self, tokens: u64) {
-        let tokens = tokens.min(self.decode_left);
+    fn record_decoded(&mut self, tokens: u64) {
+        let tokens = tokens.min(self.decode_left_tokens);
         self.core.borrow_mut().decode_backlog_tokens -= tokens;
-        self.decode_left -= tokens;
+        self.decode_left_tokens -= tokens;
         self.progress.tokens.set(self.progress.tokens.get() + 1);
     }
 }
 
-/// Part of an answer.
+/// Part of a response.
 enum Part<'a> {
     Head,
     Event(&'a str),
     End(&'a str),
-    Whole(&'a str),
+    /// A complete response that is not streamed.
+    Complete(&'a str),
 }
 
-/// What an answer is made of.
+/// Everything that determines the bytes of a response.
 #[derive(Clone)]
-pub struct Plan {
-    /// `X-Request-Id`; empty without one.
+pub struct ResponsePlan {
+    /// `X-Request-Id`; empty if absent.
     pub id: String,
-    /// Sent as server-sent events.
-    pub stream: bool,
-    chat: bool,
+    /// Whether the response is sent as server-sent events.
+    pub is_stream: bool,
+    is_chat: bool,
     model: String,
     prompt_digest: u64,
     prompt_tokens: u32,
     cached_tokens: u32,
     output_tokens: u32,
-    cut: bool,
+    /// Whether an injected fault closes the connection after half of the output.
+    is_cut: bool,
 }
 
-/// Answers a completion.
+/// Handles a completion or chat completion request.
 pub async fn complete(
     core: &Rc<RefCell<EngineCore>>,
-    prefill: &Turns,
+    prefill: &PriorityLock,
     request: &Request,
     exchange: &mut Exchange,
-    chat: bool,
+    is_chat: bool,
 ) {
     let Ok(body) = serde_json::from_slice::<CompletionRequest>(&request.body) else {
-        answers::send(
+        responses::send(
             exchange,
             400,
             &json!({"error": "body is not a completion request"}),
@@ -182,64 +185,66 @@
     };
     let is_refused = {
         let mut core = core.borrow_mut();
-        core.state.away || take(&mut core.faults.refuse_requests)
+        core.state.away || consume_fault(&mut core.faults.refuse_requests)
     };
     if is_refused {
-        answers::send(exchange, 503, &json!({"error": "away"})).await;
+        responses::send(exchange, 503, &json!({"error": "engine is unavailable"})).await;
         return;
     }
-    let priority = parse_priority(answers::header(request, "x-priority"));
-    let (mut run, plan) = begin(core, request, &body, chat);
-    let end = answer(&mut run, &plan, prefill, priority, body.stream, exchange).await;
-    if matches!(end, Err(Stopped::Ended)) {
-        // The caller sees that the answer is incomplete.
-        answers::hang_up(exchange);
+    let priority = parse_priority(responses::header(request, "x-priority"));
+    let (mut run, plan) = begin_run(core, request, &body, is_chat);
+    let result = generate(&mut run, &plan, prefill, priority, body.stream, exchange).await;
+    if matches!(result, Err(Stopped::Terminated)) {
+        // Closes the connection, so that the client sees an incomplete response.
+        responses::abort(exchange);
     }
 }
 
-fn begin(
+fn begin_run(
     core: &Rc<RefCell<EngineCore>>,
     request: &Request,
     body: &CompletionRequest,
-    chat: bool,
-) -> (Run, Plan) {
-    let id = answers::header(request, "x-request-id").unwrap_or_default();
-    let text = body.text();
+    is_chat: bool,
+) -> (Run, ResponsePlan) {
+    let id = responses::header(request, "x-request-id").unwrap_or_default();
+    let text = body.prompt_text();
     let digest = body_digest(&request.body);
-    let named = answers::header(request, "x-cache-pieces").map(parse_pieces);
-    let pieces = named.unwrap_or_else(|| pieces(&text));
-    let mut books = core.borrow_mut();
-    books.tally.started(id, digest);
-    if !body.model.is_empty() && body.model != books.state.loaded.model {
-        books.tally.counters.wrong_model += 1;
+    let header_pieces = responses::header(request, "x-cache-pieces").map(parse_pieces);
+    let pieces = header_pieces.unwrap_or_else(|| prefix_hashes(&text));
+    let mut engine = core.borrow_mut();
+    engine.recorder.record_start(id, digest);
+    if !body.model.is_empty() && body.model != engine.state.loaded.model {
+        engine.recorder.counters.wrong_model += 1;
     }
     let prompt_tokens = prompt_tokens(&text);
-    let found = books.cache.touch(Instant::now(), &pieces);
-    let cached_tokens = found.saturating_mul(PIECE_TOKENS).min(prompt_tokens);
-    let plan = Plan {
+    let cached_pieces = engine.cache.insert(Instant::now(), &pieces);
+    let cached_tokens = cached_pieces
+        .saturating_mul(TOKENS_PER_PIECE)
+        .min(prompt_tokens);
+    let plan = ResponsePlan {
         id: id.to_owned(),
-        stream: body.stream,
-        chat,
-        model: books.state.loaded.model.clone(),
+        is_stream: body.stream,
+        is_chat,
+        model: engine.state.loaded.model.clone(),
         prompt_digest: body_digest(text.as_bytes()),
         prompt_tokens,
         cached_tokens,
         output_tokens: body.output_tokens(),
-        cut: take(&mut books.faults.cut_requests),
+        is_cut: consume_fault(&mut engine.faults.cut_requests),
     };
-    let progress = books.resumable.add(&plan);
+    let progress = engine.resumable.add(&plan);
     let run = Run {
         progress,
         core: core.clone(),
-        number: books.begin_run(id),
-        epoch: books.epoch,
+        number: engine.begin_run(id),
+        epoch: engine.epoch,
         id: id.to_owned(),
         digest,
-        prefill_left: u64::from(prompt_tokens - cached_tokens),
-        decode_left: u64::from(plan.output_tokens),
+        prefill_left_tokens: u64::from(prompt_tokens - cached_tokens),
+        decode_left_tokens: u64::from(plan.output_tokens),
     };
-    books.prefill_backlog_tokens += run.prefill_left;
-    books.decode_backlog_tokens += run.decode_left;
+    engine.prefill_backlog_tokens += run.prefill_left_tokens;
+    engine.decode_backlog_tokens += run.decode_left_tokens;
     (run, plan)
 }
 
@@ -249,67 +254,78 @@
         .collect()
 }
 
-async fn answer(
+async fn generate(
     run: &mut Run,
-    plan: &Plan,
-    prefill: &Turns,
+    plan: &ResponsePlan,
+    prefill: &PriorityLock,
     priority: u8,
-    stream: bool,
+    is_stream: bool,
     exchange: &mut Exchange,
 ) -> Result<(), Stopped> {
-    if !run.core.borrow().is_instant() && run.prefill_left > 0 {
-        // A run that waits for its turn ends with its connection.
-        let turn = exchange.or_hang_up(prefill.next(priority)).await?;
-        let seconds = as_f64(run.prefill_left) / run.core.borrow().prefill_rate();
+    if !run.core.borrow().is_instant() && run.prefill_left_tokens > 0 {
+        // A run that waits for the lock ends if the client disconnects.
+        let guard = exchange.or_hang_up(prefill.lock(priority)).await?;
+        let seconds = as_f64(run.prefill_left_tokens) / run.core.borrow().prefill_rate();
         run.wait(exchange, Duration::from_secs_f64(seconds)).await?;
-        drop(turn);
+        drop(guard);
     }
-    run.prefilled();
-    if stream {
+    run.finish_prefill();
+    if is_stream {
         send_stream(run, plan, exchange).await?;
     } else {
-        send_whole(run, plan, exchange).await?;
+        send_complete(run, plan, exchange).await?;
     }
-    run.core.borrow_mut().tally.finished(&run.id, run.digest);
+    run.core
+        .borrow_mut()
+        .recorder
+        .record_finish(&run.id, run.digest);
     Ok(())
 }
 
-async fn send_whole(run: &mut Run, plan: &Plan, exchange: &mut Exchange) -> Result<(), Stopped> {
+async fn send_complete(
+    run: &mut Run,
+    plan: &ResponsePlan,
+    exchange: &mut Exchange,
+) -> Result<(), Stopped> {
     for index in 0..plan.output_tokens {
-        if plan.cut && index == plan.output_tokens / 2 {
-            return Err(Stopped::Ended);
+        if plan.is_cut && index == plan.output_tokens / 2 {
+            return Err(Stopped::Terminated);
         }
-        pace(run, exchange).await?;
-        run.decoded(1);
+        wait_for_token(run, exchange).await?;
+        run.record_decoded(1);
     }
-    run.progress.finished.set(true);
-    run.send(Part::Whole(&plan.end()), exchange).await
+    run.progress.is_finished.set(true);
+    run.send(Part::Complete(&plan.end()), exchange).await
 }
 
-async fn send_stream(run: &mut Run, plan: &Plan, exchange: &mut Exchange) -> Result<(), Stopped> {
+async fn send_stream(
+    run: &mut Run,
+    plan: &ResponsePlan,
+    exchange: &mut Exchange,
+) -> Result<(), Stopped> {
     run.send(Part::Head, exchange).await?;
     for index in 0..plan.output_tokens {
-        if plan.cut && index == plan.output_tokens / 2 {
-            return Err(Stopped::Ended);
+        if plan.is_cut && index == plan.output_tokens / 2 {
+            return Err(Stopped::Terminated);
         }
-        pace(run, exchange).await?;
-        // Counted first: whoever has got an event may ask for what follows it.
-        run.decoded(1);
+        wait_for_token(run, exchange).await?;
+        // Counted before sending: a client that has received an event may resume after it.
+        run.record_decoded(1);
         run.send(Part::Event(&plan.event(index)), exchange).await?;
     }
-    run.progress.finished.set(true);
+    run.progress.is_finished.set(true);
     run.send(Part::End(&plan.end()), exchange).await
 }
 
-/// Waits for the time of one token.
-async fn pace(run: &Run, exchange: &mut Exchange) -> Result<(), Stopped> {
-    let (instant, rate) = {
+/// Waits for the decode time of one token.
+async fn wait_for_token(run: &Run, exchange: &mut Exchange) -> Result<(), Stopped> {
+    let (is_instant, rate) = {
         let core = run.core.borrow();
         (core.is_instant(), core.decode_rate())
     };
-    if instant {
+    if is_instant {
         return if run.is_stopped() {
-            Err(Stopped::Ended)
+            Err(Stopped::Terminated)
         } else {
             Ok(())
         };
@@ -318,16 +334,16 @@
         .await
 }
 
-impl Plan {
-    /// Media type of the answer.
+impl ResponsePlan {
+    /// Content type of the response.
     pub fn content_type(&self) -> &'static str {
-        if self.stream { EVENT_STREAM } else { JSON }
+        if self.is_stream { EVENT_STREAM } else { JSON }
     }
 
-    /// Event with one token.
+    /// Stream event with the token at `index`.
     pub fn event(&self, index: u32) -> String {
         let text = token(self.prompt_digest, index);
-        let choice = if self.chat {
+        let choice = if self.is_chat {
             json!({"index": 0, "delta": {"content": text}})
         } else {
             json!({"index": 0, "text": text})
@@ -336,9 +352,9 @@
         format!("data: {event}\n\n")
     }
 
-    /// What follows the events of a stream; everything otherwise.
+    /// Usage and end marker of a stream; the complete body of any other response.
     pub fn end(&self) -> String {
-        if self.stream {
+        if self.is_stream {
             let last = json!({"id": self.id, "object": self.object(), "choices": [],
                 "usage": self.usage()});
             return format!("data: {last}\n\ndata: [DONE]\n\n");
@@ -347,7 +363,7 @@
         let text: String = tokens
             .map(|index| token(self.prompt_digest, index))
             .collect();
-        let choice = if self.chat {
+        let choice = if self.is_chat {
             json!({"index": 0, "message": {"role": "assistant", "content": text},
                 "finish_reason": "length"})
         } else {
@@ -359,7 +375,7 @@
     }
 
     fn object(&self) -> &'static str {
-        match (self.chat, self.stream) {
+        match (self.is_chat, self.is_stream) {
             (true, true) => "chat.completion.chunk",
             (true, false) => "chat.completion",
             (false, _) => "text_completion",
--- a/components/standin/src/engine/counters.rs
+++ b/components/standin/src/engine/counters.rs
@@ -1,4 +1,4 @@
-//! What the engine did, for checks where the effect is seen.
+//! Counters of runs and orders, so that tests can check effects at the engine itself.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -9,83 +9,84 @@
 use types::OrderKind;
 use types::OrderNumber;
 
-/// Runs of one request id and body.
+/// Runs of one request, identified by id and body digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunCount {
-    /// `X-Request-Id`; empty without one.
+    /// `X-Request-Id`; empty if absent.
     pub id: String,
-    /// Digest of the body, in hex.
+    /// Hexadecimal digest of the request body.
     pub digest: String,
-    /// Times that it was started.
+    /// Runs started.
     pub started: u32,
-    /// Times that it was answered in full.
+    /// Runs that generated the complete response.
     pub finished: u32,
 }
 
-/// One order that was obeyed.
+/// An order that the engine accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ObeyedOrder {
-    /// Number.
+pub struct AcceptedOrder {
+    /// Order number.
     pub number: OrderNumber,
     /// Fencing number.
     pub fencing: FencingNumber,
-    /// What was done.
+    /// The order itself.
     pub order: OrderKind,
-    /// Time since the engine's start.
+    /// Time of acceptance since the engine's start.
     pub at_ms: u64,
-    /// Requests in service when it came; they were cut off.
+    /// Active requests when the order was accepted; they end without a complete response.
     pub cut: u32,
 }
 
-/// Everything that is counted.
+/// Response to `GET /counters`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineCounters {
-    /// Runs, by id and digest.
+    /// Runs, sorted by id and digest.
     pub runs: Vec<RunCount>,
-    /// Orders obeyed, in order.
-    pub orders: Vec<ObeyedOrder>,
-    /// Orders refused for their fencing number.
+    /// Accepted orders, in order of acceptance.
+    pub orders: Vec<AcceptedOrder>,
+    /// Orders rejected for a low fencing number.
     pub fenced: u32,
-    /// Orders that came while another one was being obeyed.
+    /// Orders rejected because another one was in progress.
     pub overlapping: u32,
-    /// Orders with a lower number than one obeyed before.
+    /// Accepted orders with a lower number than an earlier accepted one.
     pub backward: u32,
-    /// Requests cancelled.
+    /// Cancelled runs.
     pub cancelled: u32,
-    /// Requests that asked for a model that is not loaded.
+    /// Requests for a model that is not loaded.
     pub wrong_model: u32,
-    /// Answers resumed from an offset.
+    /// Responses resumed from an offset.
     pub resumed: u32,
-    /// Crashes.
+    /// Crashes since the stand-in was started.
     pub crashes: u32,
 }
 
-/// Counters under construction.
+/// Records runs and orders for the counters.
 #[derive(Default)]
-pub(crate) struct Tally {
+pub(crate) struct Recorder {
+    /// Started and finished runs by request id and body digest.
     runs: HashMap<(String, u64), (u32, u32)>,
     pub counters: EngineCounters,
-    highest: OrderNumber,
+    highest_number: OrderNumber,
 }
 
-impl Tally {
-    pub fn started(&mut self, id: &str, digest: u64) {
+impl Recorder {
+    pub fn record_start(&mut self, id: &str, digest: u64) {
         self.runs.entry((id.to_owned(), digest)).or_default().0 += 1;
     }
 
-    pub fn finished(&mut self, id: &str, digest: u64) {
+    pub fn record_finish(&mut self, id: &str, digest: u64) {
         self.runs.entry((id.to_owned(), digest)).or_default().1 += 1;
     }
 
-    pub fn obeyed(&mut self, order: ObeyedOrder) {
-        if order.number < self.highest {
+    pub fn record_order(&mut self, order: AcceptedOrder) {
+        if order.number < self.highest_number {
             self.counters.backward += 1;
         }
-        self.highest = self.highest.max(order.number);
+        self.highest_number = self.highest_number.max(order.number);
         self.counters.orders.push(order);
     }
 
-    pub fn report(&self) -> EngineCounters {
+    pub fn snapshot(&self) -> EngineCounters {
         let sorted: BTreeMap<_, _> = self.runs.iter().collect();
         let runs = sorted
             .into_iter()
--- a/components/standin/src/engine/options.rs
+++ b/components/standin/src/engine/options.rs
@@ -16,29 +16,29 @@
     /// Model loaded at start
     #[bpaf(argument("MODEL"), fallback("demo".to_owned()))]
     pub model: String,
-    /// Version of its weights
+    /// Version of the weights loaded at start
     #[bpaf(long("model-version"), argument("VERSION"), fallback("1".to_owned()))]
     pub version: String,
     /// Role at start: prefill, decode or mixed
     #[bpaf(argument::<String>("ROLE"), parse(parse_role), fallback(Role::Mixed))]
     pub role: Role,
-    /// Prompt tokens a second in the mixed role
+    /// Prefill throughput in the mixed role, in tokens per second
     #[bpaf(argument("TOKENS"), fallback(8000.0))]
     pub prefill_rate: f64,
-    /// Output tokens a second of one stream in the mixed role
+    /// Decode throughput of one stream in the mixed role, in tokens per second
     #[bpaf(argument("TOKENS"), fallback(50.0))]
     pub decode_rate: f64,
-    /// Streams at full speed at once
+    /// Number of requests beyond which each one is decoded more slowly
     #[bpaf(argument("COUNT"), fallback(32))]
     pub slots: u32,
-    /// Answer at once, for speed tests
+    /// Respond without simulated delays, for benchmarks
     pub instant: bool,
-    /// Obey orders whatever their fencing number
+    /// Accept orders regardless of their fencing number
     pub ignore_fencing: bool,
-    /// Time away for a load or a change of role, in ms
+    /// Unavailability during a model load or a role change, in ms
     #[bpaf(argument("MS"), fallback(2000))]
     pub away_ms: u64,
-    /// Time away after a crash, in ms
+    /// Time from a crash to the restart, in ms
     #[bpaf(argument("MS"), fallback(1000))]
     pub crash_ms: u64,
     /// Age of reported loads, in ms
@@ -47,16 +47,16 @@
     /// Delay of cache events, in ms
     #[bpaf(argument("MS"), fallback(500))]
     pub cache_lag_ms: u64,
-    /// Leave out every n-th cache event; 0 leaves out none
+    /// Omit every n-th cache event; 0 omits none
     #[bpaf(argument("N"), fallback(0))]
     pub cache_gap: u64,
-    /// Cache pieces that the engine holds
+    /// Capacity of the prefix cache, in pieces of 2000 tokens
     #[bpaf(argument("COUNT"), fallback(400))]
     pub cache_pieces: usize,
 }
 
 impl EngineOptions {
-    /// Defaults of the command line.
+    /// The same defaults as on the command line.
     #[must_use]
     pub fn new(listen: SocketAddr) -> Self {
         Self {
@@ -79,32 +79,32 @@
     }
 }
 
-/// Faults to inject; counts apply to the next events of their kind. Fields that are left out
-/// change nothing.
+/// Faults to inject. Counts apply to the next events of their kind; absent fields keep their
+/// current value.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineFaults {
-    /// Changes in the middle of which the engine crashes.
+    /// Number of accepted orders half-way through which the engine crashes.
     pub crash_in_change: Option<u32>,
-    /// Crashes at once.
+    /// Crashes immediately; not stored.
     pub crash: bool,
-    /// Orders refused with 503.
+    /// Number of orders rejected with 503.
     pub refuse_orders: Option<u32>,
-    /// Orders obeyed without an answer.
+    /// Number of orders that are accepted but get no response.
     pub lose_order_answers: Option<u32>,
-    /// Requests refused with 503.
+    /// Number of requests rejected with 503.
     pub refuse_requests: Option<u32>,
-    /// Requests cut off half way.
+    /// Number of requests whose connection is closed after half of the output.
     pub cut_requests: Option<u32>,
-    /// Factor on all times of a request; 1 is normal.
+    /// Factor by which prefill and decode take longer; 1 is normal.
     pub slow: Option<f64>,
-    /// Answer at once.
+    /// Respond without simulated delays.
     pub instant: Option<bool>,
 }
 
 #[expect(
     clippy::needless_pass_by_value,
-    reason = "the parser hands the text over"
+    reason = "bpaf passes the argument by value"
 )]
 fn parse_role(text: String) -> Result<Role, String> {
     match text.as_str() {
@@ -112,7 +112,7 @@
         "decode" => Ok(Role::Decode),
         "mixed" => Ok(Role::Mixed),
         _ => Err(format!(
-            "unknown role `{text}`; use prefill, decode or mixed"
+            "unknown role `{text}`; expected prefill, decode or mixed"
         )),
     }
 }
--- a/components/standin/src/engine/server.rs
+++ b/components/standin/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! Routes of the stand-in engine.
+//! HTTP routes of the stand-in engine.
 
 use std::cell::RefCell;
 use std::io;
@@ -17,31 +17,31 @@
 use smol::Timer;
 use smol::net::TcpListener;
 
-use crate::answers;
 use crate::engine::completions;
 use crate::engine::options::EngineFaults;
 use crate::engine::options::EngineOptions;
 use crate::engine::resume;
 use crate::engine::state::EngineCore;
-use crate::engine::state::OrderAnswer;
 use crate::engine::state::OrderBody;
-use crate::engine::state::take;
-use crate::turns::Turns;
+use crate::engine::state::OrderDecision;
+use crate::engine::state::consume_fault;
+use crate::priority_lock::PriorityLock;
+use crate::responses;
 
 /// Largest request body.
 const BODY_LIMIT_BYTES: u64 = 64 << 20;
 
 struct Engine {
     core: Rc<RefCell<EngineCore>>,
-    prefill: Turns,
+    prefill: PriorityLock,
     executor: Rc<LocalExecutor<'static>>,
 }
 
-/// Serves on a thread of its own until the process ends.
+/// Serves on the current thread until the process ends.
 ///
 /// # Errors
 ///
-/// The address is taken.
+/// The address is already in use.
 pub fn run(options: EngineOptions) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
@@ -62,10 +62,10 @@
 ) -> io::Result<()> {
     let engine = Engine {
         core: Rc::new(RefCell::new(EngineCore::new(options))),
-        prefill: Turns::default(),
+        prefill: PriorityLock::default(),
         executor: executor.clone(),
     };
-    answers::serve(listener, Rc::new(engine), executor).await
+    responses::serve(listener, Rc::new(engine), executor).await
 }
 
 impl Handler for Engine {
@@ -82,17 +82,17 @@
     async fn route(&self, request: Request, exchange: &mut Exchange) {
         let path = request.head.url().path().to_owned();
         let method = request.head.method();
-        // What checks and faults need works even while the engine is down.
+        // Counters and faults are available even while the engine is crashed.
         match (method, path.as_str()) {
             (Method::Get, "/counters") => {
-                let counters = self.core.borrow().tally.report();
-                return answers::send(exchange, 200, &counters).await;
+                let counters = self.core.borrow().recorder.snapshot();
+                return responses::send(exchange, 200, &counters).await;
             }
-            (Method::Post, "/faults") => return self.faults(&request, exchange).await,
+            (Method::Post, "/faults") => return self.set_faults(&request, exchange).await,
             _ => {}
         }
-        if self.core.borrow().crashed {
-            return answers::hang_up(exchange);
+        if self.core.borrow().is_crashed {
+            return responses::abort(exchange);
         }
         match (method, path.as_str()) {
             (Method::Post, "/v1/completions") => self.complete(&request, exchange, false).await,
@@ -101,65 +101,76 @@
             }
             (Method::Delete, path) if path.starts_with("/requests/") => {
                 let count = self.core.borrow_mut().cancel(&path["/requests/".len()..]);
-                answers::send(exchange, 200, &json!({"cancelled": count})).await;
+                responses::send(exchange, 200, &json!({"cancelled": count})).await;
             }
             (Method::Get, path) if path.starts_with("/requests/") => {
                 let id = &path["/requests/".len()..];
-                resume::resume(&self.core, id, number(&request, "offset"), exchange).await;
+                resume::resume(&self.core, id, query_number(&request, "offset"), exchange).await;
             }
-            (Method::Post, "/orders") => self.order(&request, exchange).await,
+            (Method::Post, "/orders") => self.handle_order(&request, exchange).await,
             (Method::Get, "/state") => {
                 let state = self.core.borrow().state.clone();
-                answers::send(exchange, 200, &state).await;
+                responses::send(exchange, 200, &state).await;
             }
             (Method::Get, "/load") => {
                 let load = self.core.borrow_mut().load(Instant::now());
-                answers::send(exchange, 200, &load).await;
+                responses::send(exchange, 200, &load).await;
             }
             (Method::Get, "/cache/events") => {
                 let events = {
                     let core = self.core.borrow();
                     let lag = Duration::from_millis(core.options.cache_lag_ms);
                     core.cache
-                        .events(Instant::now(), number(&request, "after"), lag)
+                        .events(Instant::now(), query_number(&request, "after"), lag)
                 };
-                answers::send(exchange, 200, &json!({"events": events})).await;
+                responses::send(exchange, 200, &json!({"events": events})).await;
             }
-            _ => answers::send(exchange, 404, &json!({"error": "no such path"})).await,
+            _ => responses::send(exchange, 404, &json!({"error": "no such path"})).await,
         }
     }
 
-    async fn complete(&self, request: &Request, exchange: &mut Exchange, chat: bool) {
-        completions::complete(&self.core, &self.prefill, request, exchange, chat).await;
+    async fn complete(&self, request: &Request, exchange: &mut Exchange, is_chat: bool) {
+        completions::complete(&self.core, &self.prefill, request, exchange, is_chat).await;
     }
 
-    async fn order(&self, request: &Request, exchange: &mut Exchange) {
+    async fn handle_order(&self, request: &Request, exchange: &mut Exchange) {
         let Ok(body) = serde_json::from_slice::<OrderBody>(&request.body) else {
-            answers::send(exchange, 400, &json!({"error": "body is not an order"})).await;
+            responses::send(exchange, 400, &json!({"error": "body is not an order"})).await;
             return;
         };
-        let answer = self.core.borrow_mut().order(Instant::now(), &body);
-        match answer {
-            OrderAnswer::Fenced => {
-                answers::send(exchange, 409, &json!({"error": "fencing number too low"})).await;
+        let decision = self.core.borrow_mut().begin_order(Instant::now(), &body);
+        match decision {
+            OrderDecision::Fenced => {
+                responses::send(
+                    exchange,
+                    409,
+                    &json!({"error": "fencing number is lower than one seen before"}),
+                )
+                .await;
             }
-            OrderAnswer::Refused => {
-                answers::send(exchange, 503, &json!({"error": "not now"})).await;
+            OrderDecision::Rejected => {
+                responses::send(
+                    exchange,
+                    503,
+                    &json!({"error": "engine cannot accept an order now"}),
+                )
+                .await;
             }
-            OrderAnswer::Obeyed { away_ms, crashes } => {
-                self.change(body, Duration::from_millis(away_ms), crashes);
-                let is_lost = take(&mut self.core.borrow_mut().faults.lose_order_answers);
-                if is_lost {
-                    answers::hang_up(exchange);
+            OrderDecision::Accepted { away_ms, crashes } => {
+                self.execute_order(body, Duration::from_millis(away_ms), crashes);
+                let is_response_lost =
+                    consume_fault(&mut self.core.borrow_mut().faults.lose_order_answers);
+                if is_response_lost {
+                    responses::abort(exchange);
                 } else {
-                    answers::send(exchange, 202, &json!({"away_ms": away_ms})).await;
+                    responses::send(exchange, 202, &json!({"away_ms": away_ms})).await;
                 }
             }
         }
     }
 
-    /// Carries out a change in the background.
-    fn change(&self, body: OrderBody, away_ms: Duration, crashes: bool) {
+    /// Executes an accepted order in the background.
+    fn execute_order(&self, body: OrderBody, away_ms: Duration, crashes: bool) {
         let core = self.core.clone();
         let epoch = core.borrow().epoch;
         self.executor
@@ -180,30 +191,30 @@
             .detach();
     }
 
-    async fn faults(&self, request: &Request, exchange: &mut Exchange) {
+    async fn set_faults(&self, request: &Request, exchange: &mut Exchange) {
         let Ok(faults) = serde_json::from_slice::<EngineFaults>(&request.body) else {
-            answers::send(
+            responses::send(
                 exchange,
                 400,
-                &json!({"error": "body names unknown faults"}),
+                &json!({"error": "body is not a valid set of faults"}),
             )
             .await;
             return;
         };
-        if faults.crash && !self.core.borrow().crashed {
+        if faults.crash && !self.core.borrow().is_crashed {
             self.executor.spawn(crash(self.core.clone())).detach();
         }
         let merged = {
             let mut core = self.core.borrow_mut();
-            let merged = merge(&core.faults, &faults);
+            let merged = merge_faults(&core.faults, &faults);
             core.faults = merged.clone();
             merged
         };
-        answers::send(exchange, 200, &merged).await;
+        responses::send(exchange, 200, &merged).await;
     }
 }
 
-/// Crashes now and restarts later.
+/// Crashes now and restarts after `crash_ms`.
 async fn crash(core: Rc<RefCell<EngineCore>>) {
     let crash_ms = {
         let mut core = core.borrow_mut();
@@ -211,10 +222,10 @@
         Duration::from_millis(core.options.crash_ms)
     };
     Timer::after(crash_ms).await;
-    core.borrow_mut().crashed = false;
+    core.borrow_mut().is_crashed = false;
 }
 
-fn merge(old: &EngineFaults, new: &EngineFaults) -> EngineFaults {
+fn merge_faults(old: &EngineFaults, new: &EngineFaults) -> EngineFaults {
     EngineFaults {
         crash_in_change: new.crash_in_change.or(old.crash_in_change),
         crash: false,
@@ -227,8 +238,8 @@
     }
 }
 
-/// Number in the query; 0 without one.
-fn number(request: &Request, key: &str) -> u64 {
+/// Numeric query parameter; 0 if absent or invalid.
+fn query_number(request: &Request, key: &str) -> u64 {
     request
         .head
         .url()
--- a/components/standin/src/engine/state.rs
+++ b/components/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! State of the stand-in engine: what is loaded, changes under way, load and faults.
+//! State of the stand-in engine: loaded model, orders in progress, load and injected faults.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -14,61 +14,61 @@
 use types::Role;
 
 use crate::engine::cache::PrefixCache;
-use crate::engine::counters::ObeyedOrder;
-use crate::engine::counters::Tally;
+use crate::engine::counters::AcceptedOrder;
+use crate::engine::counters::Recorder;
 use crate::engine::options::EngineFaults;
 use crate::engine::options::EngineOptions;
 use crate::engine::resume::Resumable;
 
-/// Samples of the load that are kept.
+/// Maximum number of load samples kept for delayed reports.
 const SAMPLE_LIMIT: usize = 256;
 
-/// Answer to `GET /state`.
+/// Response to `GET /state`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateAnswer {
-    /// What is loaded.
+    /// Loaded model and adapters.
     pub loaded: Loaded,
-    /// Role.
+    /// Current role.
     pub role: Role,
-    /// In the middle of a change.
+    /// Whether an order is in progress, so that requests are rejected.
     pub away: bool,
-    /// Last order obeyed; 0 after a restart.
+    /// Number of the last completed order; 0 after a restart.
     pub number: OrderNumber,
 }
 
-/// Answer to `GET /load`.
+/// Response to `GET /load`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadAnswer {
-    /// Age of the figures.
+    /// Age of the sample.
     pub age_ms: u32,
     /// Prompt tokens still to be processed.
     pub prefill_backlog_tokens: u64,
-    /// Output tokens still expected.
+    /// Output tokens still to be generated.
     pub decode_backlog_tokens: u64,
-    /// Share of the cache in use, in thousandths.
+    /// Share of the prefix cache in use, in thousandths.
     pub cache_used_permille: u16,
 }
 
 /// Body of `POST /orders`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderBody {
-    /// Number.
+    /// Order number.
     pub number: OrderNumber,
     /// Fencing number.
     pub fencing: FencingNumber,
-    /// What to do.
+    /// The order itself.
     pub order: OrderKind,
 }
 
-/// Answer to an order.
+/// Decision on an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderAnswer {
-    /// Obeyed; the change takes this long, and `crashes` in the middle.
-    Obeyed { away_ms: u64, crashes: bool },
-    /// Fencing number too low.
+pub enum OrderDecision {
+    /// Accepted; the engine is unavailable for `away_ms`, or crashes half-way if `crashes` is set.
+    Accepted { away_ms: u64, crashes: bool },
+    /// Rejected: its fencing number is lower than the highest one seen.
     Fenced,
-    /// Refused for now.
-    Refused,
+    /// Rejected for now: another order is in progress, or a fault is injected.
+    Rejected,
 }
 
 /// State of the engine.
@@ -77,18 +77,19 @@
     pub faults: EngineFaults,
     pub state: StateAnswer,
     pub cache: PrefixCache,
-    pub tally: Tally,
+    pub recorder: Recorder,
     pub started: Instant,
-    /// Grows with every crash and change; runs of an earlier epoch end without an answer.
+    /// Incremented by every crash and accepted order. Runs of an earlier epoch end without a
+    /// response.
     pub epoch: u64,
-    pub crashed: bool,
-    /// Highest fencing number seen; kept over crashes, as an engine that honours it has to.
-    fencing: FencingNumber,
-    /// Runs under way: id, and whether it was cancelled.
-    pub running: HashMap<u64, (String, bool)>,
+    pub is_crashed: bool,
+    /// Highest fencing number seen. Survives crashes, as in any engine that honours fencing.
+    highest_fencing: FencingNumber,
+    /// Active runs by run number: request id, and whether it has been cancelled.
+    pub active_runs: HashMap<u64, (String, bool)>,
     pub prefill_backlog_tokens: u64,
     pub decode_backlog_tokens: u64,
-    /// Requests whose answer can be resumed.
+    /// Requests whose response can be resumed.
     pub resumable: Resumable,
     samples: VecDeque<(Instant, LoadAnswer)>,
     next_run: u64,
@@ -97,16 +98,16 @@
 impl EngineCore {
     pub fn new(options: EngineOptions) -> Self {
         Self {
-            state: initial(&options),
+            state: initial_state(&options),
             cache: PrefixCache::new(options.cache_pieces, options.cache_gap),
             options,
             faults: EngineFaults::default(),
-            tally: Tally::default(),
+            recorder: Recorder::default(),
             started: Instant::now(),
             epoch: 0,
-            crashed: false,
-            fencing: 0,
-            running: HashMap::new(),
+            is_crashed: false,
+            highest_fencing: 0,
+            active_runs: HashMap::new(),
             prefill_backlog_tokens: 0,
             decode_backlog_tokens: 0,
             resumable: Resumable::default(),
@@ -119,7 +120,7 @@
         self.faults.instant.unwrap_or(self.options.instant)
     }
 
-    /// Prompt tokens a second now.
+    /// Current prefill throughput, in tokens per second.
     pub fn prefill_rate(&self) -> f64 {
         let factor = match self.state.role {
             Role::Prefill => 1.6,
@@ -129,71 +130,74 @@
         self.options.prefill_rate * factor / self.faults.slow.unwrap_or(1.0)
     }
 
-    /// Output tokens a second of one stream now.
+    /// Current decode throughput of one stream, in tokens per second.
     pub fn decode_rate(&self) -> f64 {
         let factor = match self.state.role {
             Role::Prefill => 0.5,
             Role::Decode => 1.4,
             Role::Mixed => 1.0,
         };
-        let running = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
-        let crowd = f64::from(running) / f64::from(self.options.slots.max(1));
-        self.options.decode_rate * factor / self.faults.slow.unwrap_or(1.0) / crowd.max(1.0)
+        let active = u32::try_from(self.active_runs.len()).unwrap_or(u32::MAX);
+        let slot_utilisation = f64::from(active) / f64::from(self.options.slots.max(1));
+        self.options.decode_rate * factor
+            / self.faults.slow.unwrap_or(1.0)
+            / slot_utilisation.max(1.0)
     }
 
     pub fn begin_run(&mut self, id: &str) -> u64 {
         self.next_run += 1;
-        self.running.insert(self.next_run, (id.to_owned(), false));
+        self.active_runs
+            .insert(self.next_run, (id.to_owned(), false));
         self.next_run
     }
 
-    /// Cancels the runs with an id; returns how many there were.
+    /// Cancels the active runs of a request; returns their number.
     pub fn cancel(&mut self, id: &str) -> u32 {
         let mut count = 0;
-        for (running, cancelled) in self.running.values_mut() {
-            if running == id && !*cancelled {
-                *cancelled = true;
+        for (run_id, is_cancelled) in self.active_runs.values_mut() {
+            if run_id == id && !*is_cancelled {
+                *is_cancelled = true;
                 count += 1;
             }
         }
-        self.tally.counters.cancelled += count;
+        self.recorder.counters.cancelled += count;
         count
     }
 
-    /// Decides on an order and begins the change.
-    pub fn order(&mut self, now: Instant, body: &OrderBody) -> OrderAnswer {
-        if take(&mut self.faults.refuse_orders) {
-            return OrderAnswer::Refused;
+    /// Decides on an order and marks it as in progress if it is accepted.
+    pub fn begin_order(&mut self, now: Instant, body: &OrderBody) -> OrderDecision {
+        if consume_fault(&mut self.faults.refuse_orders) {
+            return OrderDecision::Rejected;
         }
-        if !self.options.ignore_fencing && body.fencing < self.fencing {
-            self.tally.counters.fenced += 1;
-            return OrderAnswer::Fenced;
+        if !self.options.ignore_fencing && body.fencing < self.highest_fencing {
+            self.recorder.counters.fenced += 1;
+            return OrderDecision::Fenced;
         }
         if self.state.away {
-            self.tally.counters.overlapping += 1;
-            return OrderAnswer::Refused;
+            self.recorder.counters.overlapping += 1;
+            return OrderDecision::Rejected;
         }
-        self.fencing = self.fencing.max(body.fencing);
+        self.highest_fencing = self.highest_fencing.max(body.fencing);
         self.state.away = true;
         self.epoch += 1;
-        self.tally.obeyed(ObeyedOrder {
+        self.recorder.record_order(AcceptedOrder {
             number: body.number,
             fencing: body.fencing,
             order: body.order.clone(),
             at_ms: millis(now.saturating_duration_since(self.started)),
-            cut: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
+            cut: u32::try_from(self.active_runs.len()).unwrap_or(u32::MAX),
         });
         let away_ms = match body.order {
             OrderKind::LoadModel { .. } | OrderKind::ChangeRole { .. } => self.options.away_ms,
             _ => self.options.away_ms / 4,
         };
-        OrderAnswer::Obeyed {
+        OrderDecision::Accepted {
             away_ms,
-            crashes: take(&mut self.faults.crash_in_change),
+            crashes: consume_fault(&mut self.faults.crash_in_change),
         }
     }
 
-    /// Ends a change.
+    /// Applies the order in progress and ends the unavailability.
     pub fn apply(&mut self, now: Instant, body: OrderBody) {
         let loaded = &mut self.state.loaded;
         match body.order {
@@ -206,11 +210,11 @@
                 self.cache.clear(now);
             }
             OrderKind::LoadAdapter { adapter } => {
-                if let Err(place) = loaded.adapters.binary_search(&adapter) {
-                    loaded.adapters.insert(place, adapter);
+                if let Err(position) = loaded.adapters.binary_search(&adapter) {
+                    loaded.adapters.insert(position, adapter);
                 }
             }
-            OrderKind::UnloadAdapter { adapter } => loaded.adapters.retain(|at| *at != adapter),
+            OrderKind::UnloadAdapter { adapter } => loaded.adapters.retain(|name| *name != adapter),
             OrderKind::ChangeRole { role } => self.state.role = role,
             _ => {}
         }
@@ -218,17 +222,18 @@
         self.state.away = false;
     }
 
-    /// Loses everything that was in memory.
+    /// Resets loaded model, role, cache and resumable responses. Counters, faults and the highest
+    /// fencing number are kept.
     pub fn crash(&mut self, now: Instant) {
-        self.crashed = true;
+        self.is_crashed = true;
         self.epoch += 1;
-        self.tally.counters.crashes += 1;
-        self.state = initial(&self.options);
+        self.recorder.counters.crashes += 1;
+        self.state = initial_state(&self.options);
         self.cache.clear(now);
         self.resumable = Resumable::default();
     }
 
-    /// Load as of some time ago.
+    /// The latest load sample that is at least `load_lag_ms` old, or else the oldest one.
     pub fn load(&mut self, now: Instant) -> LoadAnswer {
         self.samples.push_back((
             now,
@@ -254,7 +259,7 @@
     }
 }
 
-fn initial(options: &EngineOptions) -> StateAnswer {
+fn initial_state(options: &EngineOptions) -> StateAnswer {
     StateAnswer {
         loaded: Loaded {
             model: options.model.clone(),
@@ -267,11 +272,11 @@
     }
 }
 
-/// Uses up one of a counted fault.
-pub fn take(count: &mut Option<u32>) -> bool {
-    match count {
-        Some(left) if *left > 0 => {
-            *left -= 1;
+/// Decrements the count of an injected fault; true if the fault applies.
+pub fn consume_fault(remaining: &mut Option<u32>) -> bool {
+    match remaining {
+        Some(count) if *count > 0 => {
+            *count -= 1;
             true
         }
         _ => false,
--- a/components/standin/src/engine/text.rs
+++ b/components/standin/src/engine/text.rs
@@ -1,44 +1,45 @@
-//! Deterministic prompts, answers and digests, so that a checker can tell whole and own answers.
+//! Deterministic output text and digests, so that a checker can verify that a response is complete
+//! and belongs to its request.
 
 use serde::Deserialize;
 
-/// Tokens that an answer has when the request does not say.
-const DEFAULT_TOKENS: u32 = 16;
-/// Bytes of a prompt that count as one token.
-const TOKEN_BYTES: usize = 4;
-/// Tokens in one cache piece.
-pub const PIECE_TOKENS: u32 = 2000;
+/// Output length without `max_tokens`.
+const DEFAULT_OUTPUT_TOKENS: u32 = 16;
+/// Bytes of a prompt per token.
+const BYTES_PER_TOKEN: usize = 4;
+/// Prompt tokens in one piece of the prefix cache.
+pub const TOKENS_PER_PIECE: u32 = 2000;
 
-/// Request for a completion, in either form.
+/// Body of a completion or chat completion request.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct CompletionRequest {
-    /// Model named by the caller.
+    /// Requested model; empty for any.
     pub model: String,
     /// Prompt of `/v1/completions`.
     pub prompt: String,
     /// Messages of `/v1/chat/completions`.
     pub messages: Vec<Message>,
-    /// Length of the answer.
+    /// Output length; the stand-in always generates exactly this many tokens.
     pub max_tokens: Option<u32>,
-    /// Answer with server-sent events.
+    /// Whether to respond with server-sent events.
     pub stream: bool,
 }
 
-/// Message of a chat.
+/// Chat message.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Message {
-    /// Author.
+    /// Author of the message.
     pub role: String,
-    /// Text.
+    /// Message text.
     pub content: String,
 }
 
 impl CompletionRequest {
-    /// All text that the model reads.
+    /// Prompt text; chat messages are joined by line breaks.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn prompt_text(&self) -> String {
         if self.messages.is_empty() {
             return self.prompt.clone();
         }
@@ -50,14 +51,14 @@
         contents.join("\n")
     }
 
-    /// Tokens of the answer.
+    /// Number of output tokens to generate.
     #[must_use]
     pub fn output_tokens(&self) -> u32 {
-        self.max_tokens.unwrap_or(DEFAULT_TOKENS)
+        self.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS)
     }
 }
 
-/// Digest of a request body, as the counters list it (64-bit FNV-1a).
+/// 64-bit FNV-1a digest, as used by the counters for request bodies.
 #[must_use]
 pub fn body_digest(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -65,32 +66,33 @@
     })
 }
 
-/// Tokens of a prompt.
+/// Number of tokens of a prompt.
 #[must_use]
 pub fn prompt_tokens(text: &str) -> u32 {
-    u32::try_from(text.len().div_ceil(TOKEN_BYTES)).unwrap_or(u32::MAX)
+    u32::try_from(text.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
 
-/// One token of the answer to a prompt with this digest.
+/// Output token at an index, derived from the digest of the prompt.
 #[must_use]
 pub fn token(prompt_digest: u64, index: u32) -> String {
     let mixed = body_digest(&[&prompt_digest.to_le_bytes()[..], &index.to_le_bytes()].concat());
     format!("{:04x} ", mixed & 0xffff)
 }
 
-/// Whole text of the answer to a prompt.
+/// Complete output text for a prompt.
 #[must_use]
 pub fn answer_text(prompt: &str, tokens: u32) -> String {
     let digest = body_digest(prompt.as_bytes());
     (0..tokens).map(|index| token(digest, index)).collect()
 }
 
-/// Hashes of a prompt's prefix after each whole cache piece, for requests that name none.
+/// Hash of the prompt prefix up to the end of each complete piece, for requests without
+/// `X-Cache-Pieces`.
 #[must_use]
-pub fn pieces(prompt: &str) -> Vec<u64> {
-    let piece_bytes = PIECE_TOKENS as usize * TOKEN_BYTES;
-    let whole = prompt.len() / piece_bytes;
-    (1..=whole)
+pub fn prefix_hashes(prompt: &str) -> Vec<u64> {
+    let piece_bytes = TOKENS_PER_PIECE as usize * BYTES_PER_TOKEN;
+    let piece_count = prompt.len() / piece_bytes;
+    (1..=piece_count)
         .map(|count| body_digest(&prompt.as_bytes()[..count * piece_bytes]))
         .collect()
 }
--- a/components/standin/src/feed_store.rs
+++ b/components/standin/src/feed_store.rs
@@ -1,4 +1,7 @@
-//! Stand-in for the store of the users' platform: rows, changes since a version, and outages.
+//! Stand-in for the store of the users' platform.
+//!
+//! Serves versioned rows, a long-polled feed of changes since a version, and transactions. Outages
+//! can be injected with [`FeedStore::set_mode`].
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,22 +23,23 @@
 use serde_with::serde_as;
 use smol::Timer;
 
-use crate::answers;
+use crate::responses;
 
-/// Largest body of a call.
+/// Largest request body.
 const BODY_LIMIT_BYTES: u64 = 1 << 20;
-/// Time between two looks for changes on behalf of a call that waits.
-const LOOK_MS: Duration = Duration::from_millis(5);
+/// Interval at which a long poll checks for new changes.
+const POLL_INTERVAL_MS: Duration = Duration::from_millis(5);
 
-/// How the store answers.
+/// How the store handles requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// It answers.
+    /// Responds normally.
     #[default]
     Well,
-    /// It takes calls and never answers them nor those that it had, also after it is well again.
+    /// Accepts requests and never responds. Requests accepted in this mode or pending when it
+    /// begins stay without a response, even after the mode changes back.
     Silent,
-    /// It refuses calls.
+    /// Rejects requests with 503.
     Busy,
 }
 
@@ -53,69 +57,69 @@
     version: u64,
     rows: BTreeMap<RowKey, (String, u64)>,
     changes: Vec<Change>,
-    /// Changes up to this version are no longer kept.
-    dropped: u64,
+    /// Latest version whose change has been dropped from the history.
+    dropped_version: u64,
 }
 
-/// Rows and their changes.
+/// Rows and the history of their changes.
 #[derive(Debug, Default)]
 pub struct FeedStore {
     state: RefCell<State>,
     mode: Cell<StoreMode>,
-    /// Times that the store fell silent.
-    silences: Cell<u64>,
-    calls: Cell<u64>,
+    /// Number of switches to [`StoreMode::Silent`].
+    silence_count: Cell<u64>,
+    request_count: Cell<u64>,
 }
 
 #[serde_as]
 #[derive(Serialize)]
 #[serde(transparent)]
-struct Encoded<'a>(#[serde_as(as = "Base64")] &'a [u8]);
+struct Base64Bytes<'a>(#[serde_as(as = "Base64")] &'a [u8]);
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Transaction {
-    expected_revision: Vec<Expected>,
-    set_keys: Vec<Put>,
-    remove: Vec<Removal>,
+    expected_revision: Vec<ExpectedVersion>,
+    set_keys: Vec<RowUpdate>,
+    remove: Vec<RowRemoval>,
 }
 
 #[derive(Deserialize)]
-struct Expected {
+struct ExpectedVersion {
     table: String,
     key: String,
     ver: u64,
 }
 
 #[derive(Deserialize)]
-struct Put {
+struct RowUpdate {
     table: String,
     key: String,
     value: String,
 }
 
 #[derive(Deserialize)]
-struct Removal {
+struct RowRemoval {
     table: String,
     key: String,
 }
 
 impl FeedStore {
-    /// Calls so far.
+    /// Requests received so far.
     #[must_use]
     pub fn calls(&self) -> u64 {
-        self.calls.get()
+        self.request_count.get()
     }
 
-    /// Changes how the store answers.
+    /// Sets how the store handles requests.
     pub fn set_mode(&self, mode: StoreMode) {
         self.mode.set(mode);
         if mode == StoreMode::Silent {
-            self.silences.set(self.silences.get() + 1);
+            self.silence_count.set(self.silence_count.get() + 1);
         }
     }
 
-    /// Writes a row.
+    /// Inserts or replaces a row.
     pub fn put(&self, table: &str, key: &str, value: &[u8]) {
         let key = (table.to_owned(), key.to_owned());
         self.state.borrow_mut().change(key, Some(base64(value)));
@@ -127,19 +131,19 @@
         self.state.borrow_mut().change(key, None);
     }
 
-    /// Forgets all changes, but not the rows.
+    /// Drops the change history but keeps the rows. Feed requests after an older version get 410.
     pub fn drop_history(&self) {
         let mut state = self.state.borrow_mut();
-        state.dropped = state.version;
+        state.dropped_version = state.version;
         state.changes.clear();
     }
 
-    async fn answer(&self, request: &Request) -> (u16, Value) {
+    async fn respond(&self, request: &Request) -> (u16, Value) {
         let url = request.head.url();
         let query: BTreeMap<_, _> = url.query_pairs().into_owned().collect();
         let table = query.get("table").cloned().unwrap_or_default();
         match url.path() {
-            "/rows-get" => self.read(&table, query.get("from")),
+            "/rows-get" => self.scan(&table, query.get("from")),
             "/rows-feed" => {
                 let number = |name| query.get(name).and_then(|text: &String| text.parse().ok());
                 let wait = Duration::from_millis(number("waitMs").unwrap_or(0));
@@ -153,13 +157,13 @@
         }
     }
 
-    fn read(&self, table: &str, from: Option<&String>) -> (u16, Value) {
+    fn scan(&self, table: &str, from: Option<&String>) -> (u16, Value) {
         let state = self.state.borrow();
-        let rows = state.rows.iter().filter(|((of, key), _)| {
-            of == table && from.is_none_or(|from| key.as_str() >= from.as_str())
+        let rows = state.rows.iter().filter(|((row_table, key), _)| {
+            row_table == table && from.is_none_or(|from| key.as_str() >= from.as_str())
         });
         let rows: Vec<_> = rows
-            .map(|((table, key), (value, version))| row(table, key, Some(value), *version))
+            .map(|((table, key), (value, version))| row_json(table, key, Some(value), *version))
             .collect();
         (
             200,
@@ -168,11 +172,11 @@
     }
 
     async fn feed(&self, table: &str, after: u64, wait: Duration) -> (u16, Value) {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         loop {
             {
                 let state = self.state.borrow();
-                if after < state.dropped {
+                if after < state.dropped_version {
                     return (410, json!({}));
                 }
                 let changes = state
@@ -182,31 +186,31 @@
                 let rows: Vec<_> = changes
                     .map(|change| {
                         let (table, key) = &change.key;
-                        row(table, key, change.value.as_deref(), change.version)
+                        row_json(table, key, change.value.as_deref(), change.version)
                     })
                     .collect();
-                if !rows.is_empty() || Instant::now() >= until {
+                if !rows.is_empty() || Instant::now() >= deadline {
                     return (
                         200,
                         json!({ "rows": rows, "ver": state.version, "nowMs": 0 }),
                     );
                 }
             }
-            Timer::after(LOOK_MS).await;
+            Timer::after(POLL_INTERVAL_MS).await;
         }
     }
 
     fn commit(&self, transaction: Transaction) -> (u16, Value) {
         let mut state = self.state.borrow_mut();
-        let holds = transaction.expected_revision.iter().all(|expected| {
+        let is_current = transaction.expected_revision.iter().all(|expected| {
             let key = (expected.table.clone(), expected.key.clone());
             state.rows.get(&key).map_or(0, |(_, version)| *version) == expected.ver
         });
-        if !holds {
+        if !is_current {
             return (412, json!({ "rows": [], "ver": state.version, "nowMs": 0 }));
         }
-        for put in transaction.set_keys {
-            state.change((put.table, put.key), Some(put.value));
+        for update in transaction.set_keys {
+            state.change((update.table, update.key), Some(update.value));
         }
         for removal in transaction.remove {
             state.change((removal.table, removal.key), None);
@@ -233,7 +237,7 @@
     }
 }
 
-fn row(table: &str, key: &str, value: Option<&str>, version: u64) -> Value {
+fn row_json(table: &str, key: &str, value: Option<&str>, version: u64) -> Value {
     match value {
         Some(value) => {
             json!({ "table": table, "part": "", "key": key, "value": value, "ver": version })
@@ -243,13 +247,13 @@
 }
 
 fn base64(bytes: &[u8]) -> String {
-    match serde_json::to_value(Encoded(bytes)) {
+    match serde_json::to_value(Base64Bytes(bytes)) {
         Ok(Value::String(text)) => text,
         _ => String::new(),
     }
 }
 
-/// Handler that shares the rows with whoever changes them.
+/// HTTP handler of a store that the test also changes directly.
 pub struct FeedStoreHandler(pub Rc<FeedStore>);
 
 impl Handler for FeedStoreHandler {
@@ -260,20 +264,20 @@
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
         Box::pin(async move {
             let store = &self.0;
-            store.calls.set(store.calls.get() + 1);
+            store.request_count.set(store.request_count.get() + 1);
             if store.mode.get() == StoreMode::Busy {
-                return answers::send(exchange, 503, &json!({})).await;
+                return responses::send(exchange, 503, &json!({})).await;
             }
-            let silences = store.silences.get();
-            let answer = exchange.or_hang_up(store.answer(&request)).await;
-            let fell_silent = store.silences.get() != silences;
-            if fell_silent || store.mode.get() == StoreMode::Silent {
-                // Ends when the caller closes the connection.
+            let silence_count = store.silence_count.get();
+            let response = exchange.or_hang_up(store.respond(&request)).await;
+            let was_silenced = store.silence_count.get() != silence_count;
+            if was_silenced || store.mode.get() == StoreMode::Silent {
+                // Pending until the client closes the connection.
                 let _ = exchange.or_hang_up(std::future::pending::<()>()).await;
                 return;
             }
-            if let Ok((status, body)) = answer {
-                answers::send(exchange, status, &body).await;
+            if let Ok((status, body)) = response {
+                responses::send(exchange, status, &body).await;
             }
         })
     }
--- a/components/standin/src/forwarder.rs
+++ b/components/standin/src/forwarder.rs
@@ -1,8 +1,8 @@
-//! TCP and UDP forwarder that can go silent, for tests of dead connections.
+//! TCP and UDP forwarder that can drop traffic silently, for tests of dead connections.
 //!
 //! Each link forwards both protocols from one loopback address to another. `POST /mode` on the
-//! control address changes what passes. Silenced bytes are read and dropped, so neither end
-//! sees an error.
+//! control address sets which traffic is dropped. Dropped bytes are read and discarded, so neither
+//! end sees an error.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
 use smol::net::TcpStream;
 use smol::net::UdpSocket;
 
-use crate::answers;
+use crate::responses;
 
 const COPY_BYTES: usize = 64 << 10;
 const DATAGRAM_BYTES: usize = 64 << 10;
@@ -38,15 +38,15 @@
 /// Options of the forwarder.
 #[derive(Debug, Clone, Bpaf)]
 pub struct ForwarderOptions {
-    /// Address of the control port
+    /// Address of the control API
     #[bpaf(argument("ADDRESS"))]
     pub control: SocketAddr,
     /// Link as LISTEN=TARGET; may be repeated
-    #[bpaf(argument("LINK"), some("name at least one link"))]
+    #[bpaf(argument("LINK"), some("at least one link is required"))]
     pub link: Vec<Link>,
 }
 
-/// Pair of addresses.
+/// Forwarding rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Link {
     /// Address to listen on.
@@ -71,29 +71,30 @@
     }
 }
 
-/// What is silent.
+/// Which traffic is dropped.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Silence {
-    /// Nothing; connections that were silenced stay so.
+    /// None, except on connections that have already lost bytes.
     #[default]
     None,
-    /// TCP connections that exist now, for good; new ones and datagrams pass.
+    /// TCP connections open at the time of the command, until they are closed. New connections
+    /// and datagrams are forwarded.
     Existing,
-    /// Everything, until the next command. Connections that lost bytes stay silent.
+    /// All traffic, until the next command. Connections that lose bytes stay silent.
     All,
 }
 
-/// Direction that is silent.
+/// Direction in which traffic is dropped.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// Both.
+    /// Both directions.
     #[default]
     Both,
-    /// Only towards the target.
+    /// From the client to the target.
     ToTarget,
-    /// Only from the target.
+    /// From the target to the client.
     FromTarget,
 }
 
@@ -101,66 +102,68 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Mode {
-    /// What is silent.
+    /// Which traffic is dropped.
     pub silence: Silence,
-    /// In which direction.
+    /// Direction in which it is dropped.
     pub direction: Direction,
-    /// Number of the link, from 0; all links without one.
+    /// Index of the link, from 0; all links if absent.
     pub link: Option<usize>,
 }
 
 #[derive(Default)]
-struct Switch {
+struct LinkState {
     mode: Cell<Mode>,
-    opened: Cell<u64>,
-    /// Connections up to this one are silent in the direction kept beside it.
+    connection_count: Cell<u64>,
+    /// Highest number of a silenced connection, and the direction in which those are silent.
     silenced: Cell<(u64, Direction)>,
 }
 
+/// Direction of one copy loop.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
-    To,
-    From,
+enum Flow {
+    ToTarget,
+    FromTarget,
 }
 
 impl Direction {
-    fn covers(self, way: Way) -> bool {
+    fn includes(self, flow: Flow) -> bool {
         match self {
             Self::Both => true,
-            Self::ToTarget => way == Way::To,
-            Self::FromTarget => way == Way::From,
+            Self::ToTarget => flow == Flow::ToTarget,
+            Self::FromTarget => flow == Flow::FromTarget,
         }
     }
 }
 
-impl Switch {
+impl LinkState {
     fn set(&self, mode: Mode) {
         if mode.silence == Silence::Existing {
-            self.silenced.set((self.opened.get(), mode.direction));
+            self.silenced
+                .set((self.connection_count.get(), mode.direction));
         }
         self.mode.set(mode);
     }
 
-    fn silences_datagram(&self, way: Way) -> bool {
+    fn drops_datagram(&self, flow: Flow) -> bool {
         let mode = self.mode.get();
-        mode.silence == Silence::All && mode.direction.covers(way)
+        mode.silence == Silence::All && mode.direction.includes(flow)
     }
 
-    fn silences(&self, connection: u64, way: Way) -> bool {
+    fn drops(&self, connection: u64, flow: Flow) -> bool {
         let (last, direction) = self.silenced.get();
-        (connection <= last && direction.covers(way)) || self.silences_datagram(way)
+        (connection <= last && direction.includes(flow)) || self.drops_datagram(flow)
     }
 }
 
 struct Forwarder {
-    switches: Vec<Rc<Switch>>,
+    links: Vec<Rc<LinkState>>,
 }
 
-/// Serves on this thread until the process ends.
+/// Serves on the current thread until the process ends.
 ///
 /// # Errors
 ///
-/// An address is taken.
+/// An address is already in use.
 pub fn run(options: &ForwarderOptions) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(serve(options, executor)))
@@ -170,21 +173,21 @@
 ///
 /// # Errors
 ///
-/// An address is taken.
+/// An address is already in use.
 pub async fn serve(
     options: &ForwarderOptions,
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
-    let mut switches = Vec::new();
+    let mut links = Vec::new();
     for link in &options.link {
-        let switch = Rc::new(Switch::default());
+        let state = Rc::new(LinkState::default());
         let listener = TcpListener::bind(link.listen).await?;
         let socket = UdpSocket::bind(link.listen).await?;
         executor
             .spawn(accept(
                 listener,
                 link.target,
-                switch.clone(),
+                state.clone(),
                 executor.clone(),
             ))
             .detach();
@@ -192,14 +195,14 @@
             .spawn(forward_datagrams(
                 socket,
                 link.target,
-                switch.clone(),
+                state.clone(),
                 executor.clone(),
             ))
             .detach();
-        switches.push(switch);
+        links.push(state);
     }
     let control = TcpListener::bind(options.control).await?;
-    answers::serve(control, Rc::new(Forwarder { switches }), executor).await
+    responses::serve(control, Rc::new(Forwarder { links }), executor).await
 }
 
 impl Handler for Forwarder {
@@ -212,14 +215,14 @@
             let mode = serde_json::from_slice::<Mode>(&request.body);
             match (request.head.url().path(), mode) {
                 ("/mode", Ok(mode)) => {
-                    for (number, switch) in self.switches.iter().enumerate() {
-                        if mode.link.is_none_or(|link| link == number) {
-                            switch.set(mode);
+                    for (index, state) in self.links.iter().enumerate() {
+                        if mode.link.is_none_or(|link| link == index) {
+                            state.set(mode);
                         }
                     }
-                    answers::send(exchange, 200, &mode).await;
+                    responses::send(exchange, 200, &mode).await;
                 }
-                _ => answers::send(exchange, 400, &json!({"error": "post a mode to /mode"})).await,
+                _ => responses::send(exchange, 400, &json!({"error": "wrong path or mode"})).await,
             }
         })
     }
@@ -228,45 +231,51 @@
 async fn accept(
     listener: TcpListener,
     target: SocketAddr,
-    switch: Rc<Switch>,
+    state: Rc<LinkState>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
-    while let Ok((near, _)) = listener.accept().await {
-        let number = switch.opened.get() + 1;
-        switch.opened.set(number);
+    while let Ok((client, _)) = listener.accept().await {
+        let number = state.connection_count.get() + 1;
+        state.connection_count.set(number);
         executor
-            .spawn(connect(near, target, number, switch.clone()))
+            .spawn(connect(client, target, number, state.clone()))
             .detach();
     }
 }
 
-async fn connect(near: TcpStream, target: SocketAddr, number: u64, switch: Rc<Switch>) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn connect(client: TcpStream, target: SocketAddr, number: u64, state: Rc<LinkState>) {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let to = copy(near.clone(), far.clone(), number, &switch, Way::To);
-    let from = copy(far, near, number, &switch, Way::From);
-    let _ = to.or(from).await;
+    let _ = client.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
+    let to_target = copy_until_closed(
+        client.clone(),
+        upstream.clone(),
+        number,
+        &state,
+        Flow::ToTarget,
+    );
+    let from_target = copy_until_closed(upstream, client, number, &state, Flow::FromTarget);
+    let _ = to_target.or(from_target).await;
 }
 
-/// Copies until one end closes. A connection that lost a byte never passes another one: the
-/// bytes after a gap would be taken for those that are missing.
-async fn copy(
+/// Copies bytes in one direction until the source closes. Once a byte has been dropped, nothing
+/// more is forwarded, because the receiver would take later bytes for the missing ones.
+async fn copy_until_closed(
     mut source: TcpStream,
     mut sink: TcpStream,
     number: u64,
-    switch: &Switch,
-    way: Way,
+    state: &LinkState,
+    flow: Flow,
 ) -> io::Result<()> {
     let mut buffer = vec![0; COPY_BYTES];
     let mut is_silent = false;
     loop {
         let count = source.read(&mut buffer).await?;
-        is_silent |= switch.silences(number, way);
+        is_silent |= state.drops(number, flow);
         if count == 0 && is_silent {
-            // The end of a silent connection is as silent as its bytes.
+            // A silent connection does not forward the end of the stream either.
             return std::future::pending().await;
         }
         if count == 0 {
@@ -281,30 +290,30 @@
 async fn forward_datagrams(
     socket: UdpSocket,
     target: SocketAddr,
-    switch: Rc<Switch>,
+    state: Rc<LinkState>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
-    let mut senders: HashMap<SocketAddr, UdpSocket> = HashMap::new();
+    let mut sockets_by_client: HashMap<SocketAddr, UdpSocket> = HashMap::new();
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
         let Ok((count, from)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
-        if switch.silences_datagram(Way::To) {
+        if state.drops_datagram(Flow::ToTarget) {
             continue;
         }
-        let sender = match senders.entry(from) {
-            Entry::Occupied(known) => known.into_mut(),
-            Entry::Vacant(place) => {
+        let sender = match sockets_by_client.entry(from) {
+            Entry::Occupied(entry) => entry.into_mut(),
+            Entry::Vacant(entry) => {
                 let Ok(sender) = UdpSocket::bind((target.ip(), 0)).await else {
                     continue;
                 };
-                let back = return_datagrams(sender.clone(), socket.clone(), from, switch.clone());
-                executor.spawn(back).detach();
-                place.insert(sender)
+                let replies = return_datagrams(sender.clone(), socket.clone(), from, state.clone());
+                executor.spawn(replies).detach();
+                entry.insert(sender)
             }
         };
-        // An unreachable target loses the datagram, as a network does.
+        // Errors are ignored: an unreachable target loses datagrams, as a network does.
         let _ = sender.send_to(&buffer[..count], target).await;
     }
 }
@@ -313,14 +322,14 @@
     sender: UdpSocket,
     socket: UdpSocket,
     to: SocketAddr,
-    switch: Rc<Switch>,
+    state: Rc<LinkState>,
 ) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
         let Ok((count, _)) = sender.recv_from(&mut buffer).await else {
             continue;
         };
-        if !switch.silences_datagram(Way::From) {
+        if !state.drops_datagram(Flow::FromTarget) {
             let _ = socket.send_to(&buffer[..count], to).await;
         }
     }
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -1,11 +1,13 @@
-//! Stand-ins for everything outside the system, for tests and the demo. Never shipped.
+//! Stand-ins for the services that chervilspool depends on, for tests and the demo.
+//!
+//! Not part of a release.
 
-mod answers;
 pub mod engine;
 pub mod feed_store;
 pub mod forwarder;
 pub mod plain;
 pub mod platform;
 pub mod ports;
+mod priority_lock;
+mod responses;
 pub mod staged_engine;
-mod turns;
--- a/components/standin/src/main.rs
+++ b/components/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts one stand-in.
+//! Command line that runs one stand-in.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use store::HostEntry;
 use store::HostState;
 
-/// Stand-ins for what surrounds chervilspool. For tests and the demo only.
+/// Stand-ins for the services that chervilspool depends on, for tests and the demo only
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 enum Command {
@@ -28,7 +28,7 @@
     /// Plain service over HTTP
     #[bpaf(command)]
     Plain(#[bpaf(external(plain_options))] PlainOptions),
-    /// TCP and UDP forwarder that can go silent
+    /// TCP and UDP forwarder that can drop traffic silently
     #[bpaf(command)]
     Forwarder(#[bpaf(external(forwarder_options))] ForwarderOptions),
 }
@@ -38,16 +38,16 @@
     /// Address to serve on
     #[bpaf(argument("ADDRESS"))]
     listen: SocketAddr,
-    /// Shortest time between two loads that the weight store grants, in ms
+    /// Minimum interval between model loads granted by the weight store, in ms
     #[bpaf(argument("MS"), fallback(200))]
     weight_interval_ms: u64,
-    /// Age of the host list, in ms
+    /// Delay until a changed host list is visible, in ms
     #[bpaf(argument("MS"), fallback(3000))]
     host_lag_ms: u64,
-    /// Live host; may be repeated
+    /// Name of a live host; may be repeated
     #[bpaf(argument("HOST"), many)]
     host: Vec<String>,
-    /// Seed of random faults
+    /// Seed for randomly injected faults
     #[bpaf(argument("SEED"), fallback(1))]
     seed: u64,
 }
--- a/components/standin/src/plain.rs
+++ b/components/standin/src/plain.rs
@@ -1,6 +1,8 @@
-//! Stand-in of a plain service over HTTP. Every path is answered with a deterministic receipt,
-//! and every run is counted by the digest of its body. `POST /headers` sets the fields of all
-//! further answers.
+//! Stand-in for a plain HTTP service.
+//!
+//! Responds to every other path with a receipt derived from the request, and counts runs by the
+//! digest of the request body. `POST /headers` sets the headers of later responses, `POST /faults`
+//! injects [`PlainFaults`], and `GET /counters` returns [`PlainCounters`].
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,9 +26,9 @@
 use smol::Timer;
 use smol::net::TcpListener;
 
-use crate::answers;
 use crate::engine::body_digest;
-use crate::engine::take;
+use crate::engine::consume_fault;
+use crate::responses;
 
 /// Largest request body.
 const BODY_LIMIT_BYTES: u64 = 64 << 20;
@@ -37,46 +39,46 @@
     /// Address to serve on
     #[bpaf(argument("ADDRESS"))]
     pub listen: SocketAddr,
-    /// Time to answer, in ms
+    /// Delay before each response, in ms
     #[bpaf(argument("MS"), fallback(0))]
     pub delay_ms: u64,
 }
 
-/// Faults to inject; counts apply to the next requests. Fields that are left out change nothing.
+/// Faults to inject. Counts apply to the next requests; absent fields keep their current value.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlainFaults {
-    /// Time to answer, in ms.
+    /// Delay before each response.
     pub delay_ms: Option<u64>,
-    /// Requests that run and get no answer.
+    /// Number of requests that run but get no response.
     pub lose_answers: Option<u32>,
-    /// Requests answered with 500 after they ran.
+    /// Number of requests that run and get a 500 response.
     pub fail: Option<u32>,
 }
 
-/// What the service did.
+/// Counters of the plain service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainCounters {
-    /// Runs by digest of the body, in hex.
+    /// Runs by hexadecimal digest of the request body.
     pub runs: BTreeMap<String, u32>,
     /// Runs by `X-Request-Id`.
     pub ids: BTreeMap<String, u32>,
-    /// Fields of the last request that ran, one item for each line.
+    /// Headers of the last request that ran, one item per header line.
     pub last_headers: Vec<(String, String)>,
 }
 
-/// Receipt that answers a request.
+/// Response body; a checker can recompute it with [`receipt`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
-    /// Digest of path and body, in hex.
+    /// Hexadecimal digest of path and body.
     pub receipt: String,
-    /// Path of the request.
+    /// Request path.
     pub path: String,
-    /// Length of its body.
+    /// Length of the request body.
     pub bytes: usize,
 }
 
-/// Receipt for a request.
+/// Expected receipt of a request.
 #[must_use]
 pub fn receipt(path: &str, body: &[u8]) -> Receipt {
     Receipt {
@@ -87,21 +89,21 @@
 }
 
 #[derive(Default)]
-struct Plain {
+struct PlainService {
     delay_ms: RefCell<u64>,
     faults: RefCell<PlainFaults>,
     counters: RefCell<PlainCounters>,
-    /// Fields of every answer, one item for each line.
-    headers: RefCell<Vec<(String, String)>>,
+    /// Headers added to every response, one item per header line.
+    response_headers: RefCell<Vec<(String, String)>>,
 }
 
-/// Serves on this thread until the process ends.
+/// Serves on the current thread until the process ends.
 ///
 /// # Errors
 ///
-/// The address is taken.
+/// The address is already in use.
 pub fn run(options: &PlainOptions) -> io::Result<()> {
-    answers::run(options.listen, Rc::new(new(options)))
+    responses::run(options.listen, Rc::new(new(options)))
 }
 
 /// Serves a bound listener.
@@ -114,17 +116,17 @@
     listener: TcpListener,
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
-    answers::serve(listener, Rc::new(new(options)), executor).await
+    responses::serve(listener, Rc::new(new(options)), executor).await
 }
 
-fn new(options: &PlainOptions) -> Plain {
-    Plain {
+fn new(options: &PlainOptions) -> PlainService {
+    PlainService {
         delay_ms: RefCell::new(options.delay_ms),
-        ..Plain::default()
+        ..PlainService::default()
     }
 }
 
-impl Handler for Plain {
+impl Handler for PlainService {
     fn admit(&self, _head: &http_types::Request) -> Result<u64, Problem> {
         Ok(BODY_LIMIT_BYTES)
     }
@@ -134,67 +136,80 @@
     }
 }
 
-impl Plain {
+impl PlainService {
     async fn route(&self, request: Request, exchange: &mut Exchange) {
         let path = request.head.url().path().to_owned();
         match (request.head.method(), path.as_str()) {
             (Method::Get, "/counters") => {
                 let counters = self.counters.borrow().clone();
-                answers::send(exchange, 200, &counters).await;
+                responses::send(exchange, 200, &counters).await;
             }
             (Method::Post, "/faults") => {
                 let Ok(faults) = serde_json::from_slice::<PlainFaults>(&request.body) else {
-                    answers::send(exchange, 400, &json!({"error": "unknown faults"})).await;
+                    responses::send(
+                        exchange,
+                        400,
+                        &json!({"error": "body is not a valid set of faults"}),
+                    )
+                    .await;
                     return;
                 };
-                self.take_faults(&faults);
-                answers::send(exchange, 200, &faults).await;
+                self.merge_faults(&faults);
+                responses::send(exchange, 200, &faults).await;
             }
             (Method::Post, "/headers") => {
                 let Ok(headers) = serde_json::from_slice(&request.body) else {
-                    answers::send(exchange, 400, &json!({"error": "send a list of pairs"})).await;
+                    responses::send(
+                        exchange,
+                        400,
+                        &json!({"error": "body is not a list of name and value pairs"}),
+                    )
+                    .await;
                     return;
                 };
-                *self.headers.borrow_mut() = headers;
-                answers::send(exchange, 200, &json!({})).await;
+                *self.response_headers.borrow_mut() = headers;
+                responses::send(exchange, 200, &json!({})).await;
             }
             _ => self.run(&request, &path, exchange).await,
         }
     }
 
-    fn take_faults(&self, faults: &PlainFaults) {
+    fn merge_faults(&self, faults: &PlainFaults) {
         if let Some(delay_ms) = faults.delay_ms {
             *self.delay_ms.borrow_mut() = delay_ms;
         }
-        let mut now = self.faults.borrow_mut();
-        now.lose_answers = faults.lose_answers.or(now.lose_answers);
-        now.fail = faults.fail.or(now.fail);
+        let mut current = self.faults.borrow_mut();
+        current.lose_answers = faults.lose_answers.or(current.lose_answers);
+        current.fail = faults.fail.or(current.fail);
     }
 
     async fn run(&self, request: &Request, path: &str, exchange: &mut Exchange) {
-        self.count(request);
+        self.record(request);
         let delay = Duration::from_millis(*self.delay_ms.borrow());
         if !delay.is_zero() {
             Timer::after(delay).await;
         }
-        let (is_lost, fails) = {
+        let (is_response_lost, is_failed) = {
             let mut faults = self.faults.borrow_mut();
-            (take(&mut faults.lose_answers), take(&mut faults.fail))
+            (
+                consume_fault(&mut faults.lose_answers),
+                consume_fault(&mut faults.fail),
+            )
         };
-        if is_lost {
-            return answers::hang_up(exchange);
+        if is_response_lost {
+            return responses::abort(exchange);
         }
-        let status = if fails { 500 } else { 200 };
-        let mut head = answers::head(status, "application/json");
-        for (name, value) in self.headers.borrow().iter() {
+        let status = if is_failed { 500 } else { 200 };
+        let mut head = responses::head(status, "application/json");
+        for (name, value) in self.response_headers.borrow().iter() {
             head.append_header(name.as_str(), value.as_str());
         }
         let body = serde_json::to_vec(&receipt(path, &request.body)).unwrap_or_default();
-        // A peer that hung up does not get it.
+        // Errors are ignored, as the client may have disconnected.
         let _ = exchange.respond(head, &body).await;
     }
 
-    fn count(&self, request: &Request) {
+    fn record(&self, request: &Request) {
         let mut counters = self.counters.borrow_mut();
         let digest = format!("{:016x}", body_digest(&request.body));
         *counters.runs.entry(digest).or_default() += 1;
@@ -203,7 +218,7 @@
             values.iter().map(line).collect::<Vec<_>>()
         });
         counters.last_headers = lines.collect();
-        if let Some(id) = answers::header(request, "x-request-id") {
+        if let Some(id) = responses::header(request, "x-request-id") {
             *counters.ids.entry(id.to_owned()).or_default() += 1;
         }
     }
--- a/components/standin/src/platform.rs
+++ b/components/standin/src/platform.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the platform: table, object store, weight store and host list over HTTP.
+//! Stand-in for the platform: table, object store, weight store and host list over HTTP.
 //!
-//! Everything is kept in memory. Beside the services' own paths there are `POST /faults` with
-//! [`Faults`], `POST /hosts` with the true host list, and `GET /counters` with [`Counters`].
+//! All data is kept in memory. In addition to the paths of these services, `POST /faults` takes
+//! [`Faults`], `POST /hosts` takes the current host list, and `GET /counters` returns [`Counters`].
 
 mod faults;
 mod handler;
@@ -24,18 +24,18 @@
 pub use handler::Counters;
 use handler::PlatformHandler;
 
-/// How the stand-in starts.
+/// Options of the stand-in platform.
 #[derive(Debug, Clone)]
 pub struct PlatformOptions {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Shortest time between two loads that the weight store grants.
+    /// Minimum interval between model loads granted by the weight store.
     pub weight_interval_ms: Duration,
-    /// Age of the host list.
+    /// Delay until a changed host list is visible.
     pub host_lag_ms: Duration,
-    /// Hosts at the start.
+    /// Initial host list.
     pub hosts: Vec<HostEntry>,
-    /// Seed of the faults that are drawn at random.
+    /// Seed for randomly injected faults.
     pub seed: u64,
 }
 
@@ -59,7 +59,7 @@
 pub async fn run(options: PlatformOptions) -> io::Result<()> {
     let listener = TcpListener::bind(options.listen).await?;
     let executor = Rc::new(LocalExecutor::new());
-    let (_running, stop) = async_channel::bounded(1);
+    let (_stop_sender, stop) = async_channel::bounded(1);
     let server = serve(listener, options, Rc::clone(&executor), stop);
     executor.run(server).await?;
     future::pending().await
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 ///
-/// Those of the server.
+/// The listener failed.
 pub async fn serve(
     listener: TcpListener,
     options: PlatformOptions,
--- a/components/standin/src/platform/faults.rs
+++ b/components/standin/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that the stand-in can be told to have.
+//! Faults that can be injected into the stand-in platform.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -18,29 +18,28 @@
     Hosts,
 }
 
-/// Faults in force from now on; a field that is left out means no such fault.
+/// Faults to inject from now on. They replace all earlier ones; an absent field means no fault.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Services that refuse every call with `503`.
+    /// Services that reject every request with 503.
     pub outages: Vec<Service>,
-    /// The table takes calls and neither carries them out nor answers.
+    /// The table accepts requests and neither executes nor answers them.
     pub table_silent: bool,
-    /// Delay of every call before it is carried out.
+    /// Delay before each request is executed.
     pub delay_ms: u64,
-    /// The replies of this many commits are lost after the write took effect.
+    /// Number of commits that are applied but whose reply is lost.
     pub lose_replies: u32,
-    /// Share of table calls, from 0 to 1, whose reply is lost after they took effect.
+    /// Share of table requests, from 0 to 1, that are executed but whose reply is lost.
     pub lost_share: f64,
-    /// Share of table calls, from 0 to 1, that are lost before they take effect.
+    /// Share of table requests, from 0 to 1, that are lost before they are executed.
     pub dropped_share: f64,
-    /// Wrong host list to show instead of the true one.
+    /// Wrong host list to return instead of the actual one.
     pub hosts: Option<Vec<HostEntry>>,
 }
 
 impl Faults {
-    /// Whether a service refuses calls.
-    pub(super) fn is_out(&self, service: Service) -> bool {
+    pub(super) fn blocks(&self, service: Service) -> bool {
         self.outages.contains(&service)
     }
 }
--- a/components/standin/src/platform/handler.rs
+++ b/components/standin/src/platform/handler.rs
@@ -1,4 +1,4 @@
-//! Answers the requests to the stand-in.
+//! HTTP handler of the stand-in platform.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -29,30 +29,30 @@
 use super::PlatformOptions;
 use super::faults::Faults;
 use super::faults::Service;
-use super::hosts::LaggingHosts;
+use super::hosts::DelayedHostList;
 
-/// Largest body of a request.
+/// Largest request body.
 const BODY_LIMIT_BYTES: u64 = 64 << 20;
 
-/// Calls that the stand-in has carried out.
+/// Operations that the stand-in has executed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Calls of the table.
+    /// Table operations.
     #[serde(flatten)]
     pub table: TableCounters,
-    /// Objects stored.
+    /// Objects currently stored.
     pub objects: u64,
-    /// Loads granted by the weight store.
+    /// Model loads granted by the weight store.
     pub weights: u64,
 }
 
-/// What happens to the reply of a call that was carried out.
-enum Answer {
-    Whole(StatusCode, Vec<u8>),
+/// How a request is completed.
+enum Reply {
+    Complete(StatusCode, Vec<u8>),
     Problem(Problem),
-    /// The connection is closed without an answer.
+    /// The connection is closed without a response.
     Lost,
-    /// The connection stays open without an answer.
+    /// The connection stays open without a response.
     Silent,
 }
 
@@ -64,11 +64,11 @@
 struct State {
     rows: Rows,
     objects: BTreeMap<String, Vec<u8>>,
-    hosts: LaggingHosts,
+    hosts: DelayedHostList,
     faults: Faults,
     random: StdRng,
-    weights_granted: u64,
-    next_weight: Instant,
+    loads_granted: u64,
+    next_load_at: Instant,
 }
 
 impl Handler for PlatformHandler {
@@ -78,8 +78,8 @@
 
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
         Box::pin(async move {
-            // The server closes the connection of a peer that hung up.
-            let _ = self.exchange(request, exchange).await;
+            // The server closes the connection if the client has disconnected.
+            let _ = self.respond(request, exchange).await;
         })
     }
 }
@@ -92,16 +92,16 @@
             state: RefCell::new(State {
                 rows: Rows::default(),
                 objects: BTreeMap::new(),
-                hosts: LaggingHosts::new(options.host_lag_ms, now, options.hosts),
+                hosts: DelayedHostList::new(options.host_lag_ms, now, options.hosts),
                 faults: Faults::default(),
                 random: StdRng::seed_from_u64(options.seed),
-                weights_granted: 0,
-                next_weight: now,
+                loads_granted: 0,
+                next_load_at: now,
             }),
         }
     }
 
-    async fn exchange(&self, request: Request, exchange: &mut Exchange) -> Result<(), HungUp> {
+    async fn respond(&self, request: Request, exchange: &mut Exchange) -> Result<(), HungUp> {
         let path: Vec<String> = request
             .head
             .url()
@@ -117,139 +117,146 @@
                 Timer::after(Duration::from_millis(delay_ms)).await;
             }
         }
-        match self.answer(request.head.method(), &path, request.body) {
-            Answer::Whole(status, body) => exchange.respond(Response::new(status), &body).await,
-            Answer::Problem(problem) => {
+        match self.route(request.head.method(), &path, request.body) {
+            Reply::Complete(status, body) => exchange.respond(Response::new(status), &body).await,
+            Reply::Problem(problem) => {
                 let (head, body) = problem.to_answer();
                 exchange.respond(head, &body).await
             }
-            Answer::Lost => Ok(()),
-            Answer::Silent => exchange.or_hang_up(std::future::pending()).await,
+            Reply::Lost => Ok(()),
+            Reply::Silent => exchange.or_hang_up(std::future::pending()).await,
         }
     }
 
-    fn answer(&self, method: Method, path: &[&str], body: Vec<u8>) -> Answer {
+    fn route(&self, method: Method, path: &[&str], body: Vec<u8>) -> Reply {
         let now = Instant::now();
         let state = &mut *self.state.borrow_mut();
         match (method, path) {
             (Method::Post, ["table"]) => state.table(&body),
-            (_, ["objects", ..]) if state.faults.is_out(Service::Objects) => outage("object store"),
+            (_, ["objects", ..]) if state.faults.blocks(Service::Objects) => outage("object store"),
             (Method::Put, ["objects", key]) => {
                 state.objects.insert((*key).to_owned(), body);
-                Answer::Whole(StatusCode::Ok, Vec::new())
+                Reply::Complete(StatusCode::Ok, Vec::new())
             }
             (Method::Get, ["objects", key]) => state.object(key),
             (Method::Delete, ["objects", key]) => {
                 state.objects.remove(*key);
-                Answer::Whole(StatusCode::Ok, Vec::new())
+                Reply::Complete(StatusCode::Ok, Vec::new())
             }
-            (_, ["weights", ..]) if state.faults.is_out(Service::Weights) => outage("weight store"),
+            (_, ["weights", ..]) if state.faults.blocks(Service::Weights) => outage("weight store"),
             (Method::Post, ["weights", _model, _version]) => {
-                state.weight(now, self.weight_interval_ms)
+                state.reserve_load(now, self.weight_interval_ms)
             }
-            (Method::Get, ["hosts"]) if state.faults.is_out(Service::Hosts) => outage("host list"),
+            (Method::Get, ["hosts"]) if state.faults.blocks(Service::Hosts) => outage("host list"),
             (Method::Get, ["hosts"]) => {
-                let shown = state.hosts.shown(now);
-                json(state.faults.hosts.as_ref().unwrap_or(&shown))
+                let visible = state.hosts.visible(now);
+                json(state.faults.hosts.as_ref().unwrap_or(&visible))
             }
-            (Method::Post, ["hosts"]) => parsed(&body, |hosts: Vec<HostEntry>| {
+            (Method::Post, ["hosts"]) => with_parsed(&body, |hosts: Vec<HostEntry>| {
                 state.hosts.set(now, hosts);
-                Answer::Whole(StatusCode::Ok, Vec::new())
+                Reply::Complete(StatusCode::Ok, Vec::new())
             }),
-            (Method::Post, ["faults"]) => parsed(&body, |faults: Faults| {
+            (Method::Post, ["faults"]) => with_parsed(&body, |faults: Faults| {
                 state.faults = faults;
-                Answer::Whole(StatusCode::Ok, Vec::new())
+                Reply::Complete(StatusCode::Ok, Vec::new())
             }),
             (Method::Get, ["faults"]) => json(&state.faults),
             (Method::Get, ["counters"]) => json(&state.counters()),
-            _ => Answer::Problem(Problem::new(404, "unknown-path", "see docs/design.md")),
+            _ => Reply::Problem(Problem::new(
+                404,
+                "unknown-path",
+                "no such path; see docs/design.md",
+            )),
         }
     }
 }
 
 impl State {
-    fn table(&mut self, body: &[u8]) -> Answer {
-        if self.faults.is_out(Service::Table) {
+    fn table(&mut self, body: &[u8]) -> Reply {
+        if self.faults.blocks(Service::Table) {
             return outage("table");
         }
         if self.faults.table_silent {
-            return Answer::Silent;
+            return Reply::Silent;
         }
-        parsed(body, |request: TableRequest| {
-            if self.drawn(self.faults.dropped_share) {
-                return Answer::Lost;
+        with_parsed(body, |request: TableRequest| {
+            if self.is_drawn(self.faults.dropped_share) {
+                return Reply::Lost;
             }
             let reply = self.rows.apply(&request);
-            if self.loses_reply(&request) {
-                return Answer::Lost;
+            if self.is_reply_lost(&request) {
+                return Reply::Lost;
             }
             json(&reply)
         })
     }
 
-    fn loses_reply(&mut self, request: &TableRequest) -> bool {
+    fn is_reply_lost(&mut self, request: &TableRequest) -> bool {
         if matches!(request, TableRequest::Commit(_)) && self.faults.lose_replies > 0 {
             self.faults.lose_replies -= 1;
             return true;
         }
-        self.drawn(self.faults.lost_share)
+        self.is_drawn(self.faults.lost_share)
     }
 
-    fn drawn(&mut self, share: f64) -> bool {
-        share > 0.0 && self.random.random_range(0.0..1.0) < share
+    fn is_drawn(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.random.random_range(0.0..1.0) < probability
     }
 
-    fn object(&self, key: &str) -> Answer {
+    fn object(&self, key: &str) -> Reply {
         self.objects.get(key).map_or_else(
             || {
-                Answer::Problem(Problem::new(
+                Reply::Problem(Problem::new(
                     404,
                     "no-such-object",
-                    "nothing is stored there",
+                    "no object is stored under this key",
                 ))
             },
-            |bytes| Answer::Whole(StatusCode::Ok, bytes.clone()),
+            |bytes| Reply::Complete(StatusCode::Ok, bytes.clone()),
         )
     }
 
-    fn weight(&mut self, now: Instant, interval_ms: Duration) -> Answer {
-        let wait = self.next_weight.saturating_duration_since(now);
+    fn reserve_load(&mut self, now: Instant, interval_ms: Duration) -> Reply {
+        let wait = self.next_load_at.saturating_duration_since(now);
         if !wait.is_zero() {
-            let problem = Problem::new(429, "load-rate", "wait for the next slot");
-            return Answer::Problem(problem.retry_after(wait));
+            let problem = Problem::new(429, "load-rate", "model load rate exceeded; retry later");
+            return Reply::Problem(problem.retry_after(wait));
         }
-        self.next_weight = now + interval_ms;
-        self.weights_granted += 1;
-        Answer::Whole(StatusCode::Ok, Vec::new())
+        self.next_load_at = now + interval_ms;
+        self.loads_granted += 1;
+        Reply::Complete(StatusCode::Ok, Vec::new())
     }
 
     fn counters(&self) -> Counters {
         Counters {
             table: self.rows.counters(),
             objects: self.objects.len() as u64,
-            weights: self.weights_granted,
+            weights: self.loads_granted,
         }
     }
 }
 
-fn outage(service: &str) -> Answer {
-    Answer::Problem(Problem::new(
+fn outage(service: &str) -> Reply {
+    Reply::Problem(Problem::new(
         503,
         "outage",
-        format!("the {service} is out of service"),
+        format!("{service} is unavailable: outage injected"),
     ))
 }
 
-fn json<T: Serialize + ?Sized>(value: &T) -> Answer {
+fn json<T: Serialize + ?Sized>(value: &T) -> Reply {
     match serde_json::to_vec(value) {
-        Ok(body) => Answer::Whole(StatusCode::Ok, body),
-        Err(error) => Answer::Problem(Problem::new(500, "not-encoded", error.to_string())),
+        Ok(body) => Reply::Complete(StatusCode::Ok, body),
+        Err(error) => Reply::Problem(Problem::new(500, "not-encoded", error.to_string())),
     }
 }
 
-fn parsed<T: for<'a> Deserialize<'a>>(body: &[u8], then: impl FnOnce(T) -> Answer) -> Answer {
+fn with_parsed<T: for<'a> Deserialize<'a>>(
+    body: &[u8],
+    handle_value: impl FnOnce(T) -> Reply,
+) -> Reply {
     match serde_json::from_slice(body) {
-        Ok(value) => then(value),
-        Err(error) => Answer::Problem(Problem::new(400, "not-understood", error.to_string())),
+        Ok(value) => handle_value(value),
+        Err(error) => Reply::Problem(Problem::new(400, "not-understood", error.to_string())),
     }
 }
--- a/components/standin/src/platform/hosts.rs
+++ b/components/standin/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! Host list that lags.
+//! Host list whose changes become visible after a delay.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,33 +6,33 @@
 
 use store::HostEntry;
 
-/// The true list over time, as far back as it still shows.
+/// Versions of the host list, from the visible one to the latest.
 #[derive(Debug)]
-pub(super) struct LaggingHosts {
-    lag_ms: Duration,
+pub(super) struct DelayedHostList {
+    delay_ms: Duration,
     history: VecDeque<(Instant, Vec<HostEntry>)>,
 }
 
-impl LaggingHosts {
-    /// Shows `hosts` from the start.
-    pub(super) fn new(lag_ms: Duration, now: Instant, hosts: Vec<HostEntry>) -> Self {
+impl DelayedHostList {
+    /// Makes `hosts` visible at once, without the delay.
+    pub(super) fn new(delay_ms: Duration, now: Instant, hosts: Vec<HostEntry>) -> Self {
         Self {
-            lag_ms,
+            delay_ms,
             history: VecDeque::from([(now, hosts)]),
         }
     }
 
-    /// Replaces the true list.
+    /// Replaces the list; the new one becomes visible after the delay.
     pub(super) fn set(&mut self, now: Instant, hosts: Vec<HostEntry>) {
         self.history.push_back((now, hosts));
     }
 
-    /// The list as it was before the lag.
-    pub(super) fn shown(&mut self, now: Instant) -> Vec<HostEntry> {
+    /// The list as clients see it at `now`.
+    pub(super) fn visible(&mut self, now: Instant) -> Vec<HostEntry> {
         while self
             .history
             .get(1)
-            .is_some_and(|(at, _)| now.saturating_duration_since(*at) >= self.lag_ms)
+            .is_some_and(|(at, _)| now.saturating_duration_since(*at) >= self.delay_ms)
         {
             self.history.pop_front();
         }
--- a/components/standin/src/ports.rs
+++ b/components/standin/src/ports.rs
@@ -1,8 +1,8 @@
-//! Free loopback ports for daemons that are told where to listen.
+//! Free loopback ports for daemons with a configured listen address.
 //!
-//! A port that the kernel chooses lies in the range from which it also takes ports for outgoing
-//! connections. Until the daemon listens, another connection may take the port, and a client that
-//! tries again and again may even connect to itself. The ports here lie below that range.
+//! A port chosen by the kernel is from the ephemeral range, which outgoing connections use too.
+//! Before the daemon listens, another connection may take the port, and a client that keeps
+//! retrying may even connect to itself. The ports allocated here are below that range.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -11,29 +11,30 @@
 use std::sync::atomic::Ordering;
 
 const FIRST_PORT: u32 = 20_000;
-/// The kernel's own range begins at 32,768.
-const PORTS: u32 = 12_000;
-/// Distance between the first ports of processes with neighbouring ids.
-const PROCESS_STEP: u32 = 97;
+/// Ends the range below 32,768, where the kernel's ephemeral range begins.
+const PORT_COUNT: u32 = 12_000;
+/// Distance between the first ports of processes with consecutive ids, so that concurrent tests
+/// rarely try the same port.
+const PROCESS_STRIDE: u32 = 97;
 
-static TAKEN: AtomicU32 = AtomicU32::new(0);
+static NEXT_INDEX: AtomicU32 = AtomicU32::new(0);
 
-/// An address that no one listens on, for TCP and UDP; another one with each call.
+/// An address that is free for TCP and UDP. Each call returns a different one.
 ///
 /// # Panics
 ///
-/// All ports are in use.
+/// All ports of the range are in use.
 #[must_use]
 pub fn free_address() -> SocketAddr {
-    for _ in 0..PORTS {
-        let taken = TAKEN.fetch_add(1, Ordering::Relaxed);
-        let offset = std::process::id().wrapping_mul(PROCESS_STEP);
-        let port = FIRST_PORT + offset.wrapping_add(taken) % PORTS;
+    for _ in 0..PORT_COUNT {
+        let index = NEXT_INDEX.fetch_add(1, Ordering::Relaxed);
+        let process_offset = std::process::id().wrapping_mul(PROCESS_STRIDE);
+        let port = FIRST_PORT + process_offset.wrapping_add(index) % PORT_COUNT;
         let port = u16::try_from(port).unwrap_or_default();
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return address;
         }
     }
-    panic!("no port from {FIRST_PORT} on is free on 127.0.0.1; end what uses them");
+    panic!("none of the {PORT_COUNT} ports from {FIRST_PORT} is free on 127.0.0.1");
 }
--- a/components/standin/src/answers.rs
+++ b/components/standin/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers of the HTTP stand-ins, and their servers.
+//! HTTP responses and servers shared by the stand-ins.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,10 +13,10 @@
 use smol::LocalExecutor;
 use smol::net::TcpListener;
 
-/// Connections that a stand-in accepts at once.
-const CONNECTIONS: usize = 16_384;
+/// Concurrent connections that a stand-in accepts.
+const CONNECTION_LIMIT: usize = 16_384;
 
-/// Head of an answer.
+/// Response head with a content type. An invalid status becomes 500.
 #[must_use]
 pub fn head(status: u16, content_type: &str) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
@@ -25,7 +25,7 @@
     response
 }
 
-/// Sends a JSON answer. A peer that hung up does not get it.
+/// Sends a JSON response. Errors are ignored, as the client may have disconnected.
 pub async fn send(exchange: &mut Exchange, status: u16, body: &impl Serialize) {
     let body = serde_json::to_vec(body).unwrap_or_default();
     let _ = exchange
@@ -33,15 +33,15 @@
         .await;
 }
 
-/// Ends the connection without a byte of an answer, as a crash does. The server answers requests
-/// that a handler leaves alone, so the head of an answer is begun and never sent.
-pub fn hang_up(exchange: &mut Exchange) {
+/// Closes the connection without sending a byte of the response, as a crashed server does. The
+/// HTTP server responds to requests that a handler ignores, so a head is queued but never sent.
+pub fn abort(exchange: &mut Exchange) {
     if !exchange.is_started() {
         exchange.queue_head(head(500, "text/plain"));
     }
 }
 
-/// Value of a field of a request.
+/// Value of a request header.
 #[must_use]
 pub fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.head.header(name).map(|values| values.as_str())
@@ -58,18 +58,18 @@
     executor: Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<()> {
     let limits = ServerLimits {
-        connections: CONNECTIONS,
+        connections: CONNECTION_LIMIT,
         ..ServerLimits::default()
     };
-    let (_running, stop) = async_channel::bounded(1);
+    let (_stop_sender, stop) = async_channel::bounded(1);
     http::serve(listener, limits, handler, executor, stop).await
 }
 
-/// Binds and serves on this thread until the process ends.
+/// Binds the address and serves on the current thread until the process ends.
 ///
 /// # Errors
 ///
-/// The address is taken.
+/// The address is already in use.
 pub fn run(address: SocketAddr, handler: Rc<dyn Handler>) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
--- a/components/standin/src/staged_engine.rs
+++ b/components/standin/src/staged_engine.rs
@@ -1,8 +1,9 @@
-//! Stand-in for an engine of the users' platform, or for a plain service there.
+//! Stand-in for an engine of the users' platform with separate prefill and decode stages, or for a
+//! plain service there.
 //!
-//! Answers are short and their content follows from the request, so that every caller can check
-//! that it got the whole answer to its own request. All engines of a test write what they ran into
-//! one [`Ledger`].
+//! Responses are short and derived from the request id, so that a caller can check that it received
+//! the complete response to its own request. All engines of a test record their runs in one
+//! [`Ledger`].
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,96 +21,96 @@
 use serde_json::json;
 use smol::Timer;
 
-use crate::answers;
-use crate::answers::header;
+use crate::responses;
+use crate::responses::header;
 
-/// Events of a stream.
+/// Number of events in a stream.
 pub const EVENTS: u32 = 5;
-/// Time between two events, and the work of a plain request.
+/// Time per stream event, per prefill and per plain request.
 const WORK_MS: Duration = Duration::from_millis(8);
-/// Largest body of a request.
+/// Largest request body.
 const BODY_LIMIT_BYTES: u64 = 1 << 20;
 
-/// One run of a request.
+/// One execution of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
     /// Engine that ran it.
     pub engine: String,
-    /// When it began.
+    /// Start time.
     pub began: Instant,
-    /// Event after which it went on.
+    /// Number of the event after which the stream was resumed; 0 for a run from the start.
     pub after: u32,
 }
 
-/// What all engines ran.
+/// Runs and protocol violations recorded by all engines.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Runs by the id of the request.
+    /// Runs by request id.
     pub runs: BTreeMap<String, Vec<Run>>,
-    /// Calls that break the protocol.
+    /// Descriptions of requests that violate the protocol.
     pub faults: Vec<String>,
-    /// Memory of prompts: name, engine, request; gone once used.
-    kept: BTreeMap<String, (String, String)>,
-    next_name: u64,
+    /// Engine and request id of each prefilled KV cache by handle, removed on first use.
+    kv_handles: BTreeMap<String, (String, String)>,
+    last_handle: u64,
 }
 
-/// How an engine behaves.
+/// How an engine handles requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EngineMode {
-    /// It answers.
+    /// Responds normally.
     #[default]
     Well,
-    /// It rejects everything and says so.
+    /// Rejects every request with 503 and `x-not-executed`.
     Full,
-    /// It runs requests and closes the connection instead of answering.
+    /// Runs requests and closes the connection without a response.
     LosesAnswers,
-    /// It takes requests and neither runs nor answers them.
+    /// Accepts requests and neither runs them nor responds.
     Silent,
-    /// It breaks streams off in the middle of an event.
+    /// Closes the connection of a stream in the middle of an event.
     BreaksStreams,
-    /// It sends each answer twice.
+    /// Sends the response to a plain request twice.
     Repeats,
-    /// It runs requests and answers them with a failure of its own.
+    /// Runs plain requests and responds with 500; closes the connection of a prefill.
     Fails,
 }
 
-/// Part of the work that an engine does.
+/// Serving stage of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// A plain service.
+    /// Plain service without stages.
     Plain,
-    /// It reads prompts for others.
+    /// Processes prompts for decode engines.
     Prefill,
-    /// It runs requests.
+    /// Generates output as a stream of events.
     Decode,
 }
 
-/// An engine.
+/// An engine that handles requests of one stage.
 pub struct StagedEngine {
-    /// Name of the process.
+    /// Instance name, as in `x-expected-instance`.
     pub name: String,
-    /// Stage.
+    /// Stage that the engine serves; requests of other stages are rejected with 421.
     pub stage: Stage,
-    /// Behaviour.
+    /// How it handles requests; a test changes it at any time.
     pub mode: Cell<EngineMode>,
-    /// Shared by all engines.
+    /// Record shared by all engines of a test.
     pub ledger: Rc<RefCell<Ledger>>,
 }
 
-/// Body of the answer of a plain service.
+/// Response body of a plain service.
 #[must_use]
 pub fn plain_answer(id: &str) -> String {
     format!("the whole answer to {id}\n").repeat(3)
 }
 
-/// Event of a stream, from 1.
+/// Stream event by number, from 1 to [`EVENTS`].
 #[must_use]
 pub fn event(id: &str, number: u32) -> String {
     format!("id: {number}\ndata: {id} {number}\n\n")
 }
 
 impl StagedEngine {
-    fn run(&self, id: &str, after: u32) {
+    fn record_run(&self, id: &str, after: u32) {
         let run = Run {
             engine: self.name.clone(),
             began: Instant::now(),
@@ -120,18 +121,18 @@
     }
 
     fn head(&self, status: u16, id: &str) -> Response {
-        let mut head = answers::head(status, "text/plain");
+        let mut head = responses::head(status, "text/plain");
         head.insert_header("x-attempt-id", id);
         head.insert_header("x-response-signature", format!("{}.{id}", self.name));
         head
     }
 
     async fn reject(&self, exchange: &mut Exchange, status: u16, id: &str) {
-        let mut head = answers::head(status, "text/plain");
+        let mut head = responses::head(status, "text/plain");
         head.insert_header("x-attempt-id", id);
         head.insert_header("x-instance-id", self.name.as_str());
         head.insert_header("x-not-executed", "1");
-        // A caller that hung up does not get it.
+        // Errors are ignored, as the client may have disconnected.
         let _ = exchange.respond(head, b"").await;
     }
 
@@ -143,13 +144,13 @@
             return self.reject(exchange, 421, &id).await;
         }
         if header(request, "x-deadline-ms").is_none() {
-            let fault = format!("{id} came without its deadline");
-            self.ledger.borrow_mut().faults.push(fault);
+            let violation = format!("{id}: header x-deadline-ms is missing");
+            self.ledger.borrow_mut().faults.push(violation);
         }
         match self.mode.get() {
             EngineMode::Full => return self.reject(exchange, 503, &id).await,
             EngineMode::Silent => {
-                // Ends when the caller closes the connection.
+                // Pending until the client closes the connection.
                 let _ = exchange.or_hang_up(std::future::pending::<()>()).await;
                 return;
             }
@@ -158,21 +159,21 @@
         let is_prefill = header(request, "x-serving-stage") == Some("prefill");
         match self.stage {
             Stage::Plain => self.serve_plain(&id, exchange).await,
-            Stage::Prefill if is_prefill => self.read_prompt(&id, exchange).await,
-            Stage::Decode if !is_prefill => self.stream(&id, request, exchange).await,
+            Stage::Prefill if is_prefill => self.serve_prefill(&id, exchange).await,
+            Stage::Decode if !is_prefill => self.serve_decode(&id, request, exchange).await,
             Stage::Prefill | Stage::Decode => self.reject(exchange, 421, &id).await,
         }
     }
 
     async fn serve_plain(&self, id: &str, exchange: &mut Exchange) {
-        self.run(id, 0);
+        self.record_run(id, 0);
         if exchange.or_hang_up(Timer::after(WORK_MS)).await.is_err() {
             return;
         }
         let body = plain_answer(id);
         let mode = self.mode.get();
         match mode {
-            EngineMode::LosesAnswers => answers::hang_up(exchange),
+            EngineMode::LosesAnswers => responses::abort(exchange),
             EngineMode::Fails => {
                 let _ = exchange.respond(self.head(500, id), b"failed").await;
             }
@@ -185,7 +186,7 @@
         }
     }
 
-    async fn read_prompt(&self, id: &str, exchange: &mut Exchange) {
+    async fn serve_prefill(&self, id: &str, exchange: &mut Exchange) {
         if exchange.or_hang_up(Timer::after(WORK_MS)).await.is_err() {
             return;
         }
@@ -193,40 +194,40 @@
             self.mode.get(),
             EngineMode::LosesAnswers | EngineMode::Fails
         ) {
-            return answers::hang_up(exchange);
+            return responses::abort(exchange);
         }
-        let name = {
+        let handle = {
             let mut ledger = self.ledger.borrow_mut();
-            ledger.next_name += 1;
-            let name = format!("m{}", ledger.next_name);
-            let kept = (self.name.clone(), id.to_owned());
-            ledger.kept.insert(name.clone(), kept);
-            name
+            ledger.last_handle += 1;
+            let handle = format!("m{}", ledger.last_handle);
+            let owner = (self.name.clone(), id.to_owned());
+            ledger.kv_handles.insert(handle.clone(), owner);
+            handle
         };
-        let body = json!({ "handle": name, "tokens": 1, "version": 1 }).to_string();
-        let mut head = answers::head(200, "application/json");
+        let body = json!({ "handle": handle, "tokens": 1, "version": 1 }).to_string();
+        let mut head = responses::head(200, "application/json");
         head.insert_header("x-attempt-id", id);
         let _ = exchange.respond(head, body.as_bytes()).await;
     }
 
-    async fn stream(&self, id: &str, request: &Request, exchange: &mut Exchange) {
+    async fn serve_decode(&self, id: &str, request: &Request, exchange: &mut Exchange) {
         if let Some(source) = header(request, "x-kv-source") {
-            let name = source.rsplit('/').next().unwrap_or_default();
-            let kept = self.ledger.borrow_mut().kept.remove(name);
-            match kept {
+            let handle = source.rsplit('/').next().unwrap_or_default();
+            let owner = self.ledger.borrow_mut().kv_handles.remove(handle);
+            match owner {
                 None => return self.reject(exchange, 503, id).await,
                 Some((_, owner)) if owner != id => {
-                    let fault = format!("{id} goes on from the memory of {owner}");
-                    self.ledger.borrow_mut().faults.push(fault);
+                    let violation = format!("{id}: KV cache handle belongs to request {owner}");
+                    self.ledger.borrow_mut().faults.push(violation);
                 }
                 Some(_) => {}
             }
         }
         let after = header(request, "last-event-id");
         let after: u32 = after.and_then(|number| number.parse().ok()).unwrap_or(0);
-        self.run(id, after);
+        self.record_run(id, after);
         if self.mode.get() == EngineMode::LosesAnswers {
-            return answers::hang_up(exchange);
+            return responses::abort(exchange);
         }
         let mut head = self.head(200, id);
         head.insert_header("content-type", "text/event-stream");
@@ -249,7 +250,7 @@
     }
 }
 
-/// Handler that shares the engine with whoever changes its behaviour.
+/// HTTP handler of an engine whose mode the test can change.
 pub struct StagedEngineHandler(pub Rc<StagedEngine>);
 
 impl Handler for StagedEngineHandler {
@@ -260,7 +261,7 @@
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
         Box::pin(async move {
             if request.head.method() == http_types::Method::Delete {
-                let name = request
+                let handle = request
                     .head
                     .url()
                     .path()
@@ -270,9 +271,9 @@
                 self.0
                     .ledger
                     .borrow_mut()
-                    .kept
-                    .remove(&name.unwrap_or_default());
-                answers::send(exchange, 200, &json!({})).await;
+                    .kv_handles
+                    .remove(&handle.unwrap_or_default());
+                responses::send(exchange, 200, &json!({})).await;
             } else {
                 self.0.serve(&request, exchange).await;
             }
--- a/components/standin/tests/forwarder.rs
+++ b/components/standin/tests/forwarder.rs
@@ -1,4 +1,4 @@
-//! The forwarder's silence, as tests of dead connections rely on it.
+//! Dropped traffic of the forwarder, which tests of dead connections rely on.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,10 +19,11 @@
 use standin::forwarder::Link;
 use standin::ports::free_address;
 
-/// Wait for a byte that must not come. One that comes later is a false pass, not a false failure.
-const SILENT_MS: Duration = Duration::from_millis(200);
-/// Wait for a byte that must come; long, because the machine may be busy.
-const HEARD_MS: Duration = Duration::from_secs(20);
+/// Wait for a byte that must not arrive. A byte that arrives later gives a false pass, never a
+/// false failure.
+const SILENT_WAIT_MS: Duration = Duration::from_millis(200);
+/// Longest wait for a byte that must arrive; long, because the machine may be busy.
+const ECHO_WAIT_MS: Duration = Duration::from_secs(20);
 
 async fn echo(listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
     while let Ok((stream, _)) = listener.accept().await {
@@ -37,20 +38,20 @@
     let client = Client::new(control, ClientLimits::default());
     let mut request = client.request(Method::Post, "/mode").expect("path");
     request.set_body(mode);
-    let answer = client.send_whole(request).await.expect("answer");
-    assert!(answer.status.is_success());
+    let response = client.send_whole(request).await.expect("response");
+    assert!(response.status.is_success());
 }
 
-/// Sends a byte and tells whether it comes back in time.
+/// Sends a byte; true if it is echoed within the limit.
 async fn echoes(stream: &mut TcpStream, limit: Duration) -> bool {
     stream.write_all(b"x").await.expect("written");
     let mut byte = [0; 1];
-    let answer = async { stream.read_exact(&mut byte).await.is_ok() };
-    let silence = async {
+    let echo = async { stream.read_exact(&mut byte).await.is_ok() };
+    let timeout = async {
         Timer::after(limit).await;
         false
     };
-    answer.or(silence).await
+    echo.or(timeout).await
 }
 
 async fn connect(address: SocketAddr) -> TcpStream {
@@ -62,9 +63,9 @@
     }
 }
 
-/// Guards against a forwarder whose old connections speak again, or whose new ones do not.
+/// Guards against silenced connections that carry data again, and new ones that carry none.
 #[test]
-fn silences_existing_connections_for_good_while_new_ones_work() {
+fn silences_existing_connections_permanently_but_not_new_ones() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
         let target = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
@@ -85,23 +86,26 @@
         executor.spawn(server).detach();
 
         let mut old = connect(listen).await;
-        assert!(echoes(&mut old, HEARD_MS).await);
+        assert!(echoes(&mut old, ECHO_WAIT_MS).await);
         drop(connect(control).await);
         set_mode(control, r#"{"silence": "existing"}"#).await;
-        assert!(!echoes(&mut old, SILENT_MS).await);
+        assert!(!echoes(&mut old, SILENT_WAIT_MS).await);
         let mut new = connect(listen).await;
-        assert!(echoes(&mut new, HEARD_MS).await);
+        assert!(echoes(&mut new, ECHO_WAIT_MS).await);
         set_mode(control, r#"{"silence": "none"}"#).await;
-        assert!(!echoes(&mut old, SILENT_MS).await, "bytes were lost on it");
-        assert!(echoes(&mut new, HEARD_MS).await);
+        assert!(
+            !echoes(&mut old, SILENT_WAIT_MS).await,
+            "this connection has lost bytes"
+        );
+        assert!(echoes(&mut new, ECHO_WAIT_MS).await);
         set_mode(control, r#"{"silence": "all", "direction": "from-target"}"#).await;
-        assert!(!echoes(&mut new, SILENT_MS).await);
+        assert!(!echoes(&mut new, SILENT_WAIT_MS).await);
     }));
 }
 
-/// Guards against datagrams that pass a silent link or do not pass an open one.
+/// Guards against datagrams that pass a silent link, and ones that an open link drops.
 #[test]
-fn silences_datagrams_until_told_otherwise() {
+fn drops_datagrams_until_the_mode_changes() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
         let target = UdpSocket::bind("127.0.0.1:0").await.expect("loopback");
@@ -120,20 +124,20 @@
         executor.spawn(server).detach();
         drop(connect(control).await);
 
-        let near = UdpSocket::bind("127.0.0.1:0").await.expect("loopback");
-        near.send_to(b"one", listen).await.expect("sent");
+        let client = UdpSocket::bind("127.0.0.1:0").await.expect("loopback");
+        client.send_to(b"one", listen).await.expect("sent");
         let mut buffer = [0; 8];
         let (count, from) = target.recv_from(&mut buffer).await.expect("arrived");
         assert_eq!(&buffer[..count], b"one");
         target.send_to(b"two", from).await.expect("sent");
-        let (count, _) = near.recv_from(&mut buffer).await.expect("arrived");
+        let (count, _) = client.recv_from(&mut buffer).await.expect("arrived");
         assert_eq!(&buffer[..count], b"two");
 
         set_mode(control, r#"{"silence": "all"}"#).await;
-        near.send_to(b"lost", listen).await.expect("sent");
-        Timer::after(SILENT_MS).await;
+        client.send_to(b"lost", listen).await.expect("sent");
+        Timer::after(SILENT_WAIT_MS).await;
         set_mode(control, r#"{"silence": "none"}"#).await;
-        near.send_to(b"three", listen).await.expect("sent");
+        client.send_to(b"three", listen).await.expect("sent");
         let (count, _) = target.recv_from(&mut buffer).await.expect("arrived");
         assert_eq!(&buffer[..count], b"three");
     }));
--- a/components/standin/tests/platform.rs
+++ b/components/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP clients against the stand-in.
+//! HTTP clients of the platform against the stand-in platform.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 use store::WeightStore;
 use types::SystemClock;
 
-/// Runs a test beside a stand-in on a free port.
+/// Runs a test against a stand-in on a free port.
 fn with_platform<F: Future<Output = ()>>(test: impl FnOnce(SocketAddr) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
@@ -51,7 +51,7 @@
             weight_interval_ms: Duration::from_mins(1),
             ..PlatformOptions::default()
         };
-        let (_running, stop) = async_channel::bounded(1);
+        let (_stop_sender, stop) = async_channel::bounded(1);
         let server = standin::platform::serve(listener, options, Rc::clone(&executor), stop);
         let server = async {
             server.await.unwrap();
@@ -81,7 +81,7 @@
     })
 }
 
-async fn control(address: SocketAddr, method: Method, path: &str, body: &str) -> Vec<u8> {
+async fn send(address: SocketAddr, method: Method, path: &str, body: &str) -> Vec<u8> {
     let client = Client::new(address, ClientLimits::default());
     let mut request = client.request(method, path).unwrap();
     request.set_body(body);
@@ -91,11 +91,11 @@
 }
 
 async fn counters(address: SocketAddr) -> Counters {
-    let body = control(address, Method::Get, "/counters", "").await;
+    let body = send(address, Method::Get, "/counters", "").await;
     serde_json::from_slice(&body).unwrap()
 }
 
-/// Guards against clients and stand-in that disagree on the form of the table's messages.
+/// Guards against clients and stand-in that disagree on the encoding of table messages.
 #[test]
 fn commits_reads_and_conflicts_over_http() {
     with_platform(|address| async move {
@@ -123,26 +123,26 @@
 
 /// Guards against clients that report an outage as an unknown outcome, or the reverse.
 #[test]
-fn tells_refused_calls_from_lost_ones() {
+fn distinguishes_rejected_calls_from_lost_replies() {
     with_platform(|address| async move {
         let table = HttpTable::new(address, options());
-        control(address, Method::Post, "/faults", r#"{"outages":["table"]}"#).await;
+        send(address, Method::Post, "/faults", r#"{"outages":["table"]}"#).await;
         let error = table.call(commit("k", "1", 0)).await.unwrap_err();
         assert!(matches!(error, StoreError::Unavailable(_)), "{error}");
-        control(address, Method::Post, "/faults", r#"{"table_silent":true}"#).await;
+        send(address, Method::Post, "/faults", r#"{"table_silent":true}"#).await;
         let error = table.call(commit("k", "1", 0)).await.unwrap_err();
         assert!(matches!(error, StoreError::Unanswered(_)), "{error}");
-        control(address, Method::Post, "/faults", r#"{"lose_replies":1}"#).await;
+        send(address, Method::Post, "/faults", r#"{"lose_replies":1}"#).await;
         let error = table.call(commit("k", "1", 0)).await.unwrap_err();
         assert!(matches!(error, StoreError::Unanswered(_)), "{error}");
         assert_eq!(counters(address).await.table.commits, 1);
-        let nowhere = HttpTable::new(SocketAddr::from(([127, 0, 0, 1], 1)), options());
-        let error = nowhere.call(commit("k", "1", 0)).await.unwrap_err();
+        let unreachable = HttpTable::new(SocketAddr::from(([127, 0, 0, 1], 1)), options());
+        let error = unreachable.call(commit("k", "1", 0)).await.unwrap_err();
         assert!(matches!(error, StoreError::Unavailable(_)), "{error}");
     });
 }
 
-/// Guards against a second effect, or a false failure, after the reply to a commit is lost.
+/// Guards against a repeated commit, or a false failure, after the reply to a commit is lost.
 #[test]
 fn guarded_table_resolves_lost_reply_over_http() {
     with_platform(|address| async move {
@@ -157,14 +157,14 @@
             },
             7,
         );
-        control(address, Method::Post, "/faults", r#"{"lose_replies":1}"#).await;
+        send(address, Method::Post, "/faults", r#"{"lose_replies":1}"#).await;
         let reply = table.call(commit("k", "1", 0)).await.unwrap();
         assert_eq!(reply, TableReply::Commit(CommitOutcome::Committed(vec![1])));
         assert_eq!(counters(address).await.table.commits, 1);
     });
 }
 
-/// Guards against object keys that are changed on their way.
+/// Guards against object keys that are altered by URL encoding.
 #[test]
 fn stores_objects_under_any_key() {
     with_platform(|address| async move {
@@ -180,7 +180,7 @@
     });
 }
 
-/// Guards against loads above the weight store's rate, and against waits that are not passed on.
+/// Guards against loads above the weight store's rate, and waits that the client does not return.
 #[test]
 fn weight_store_limits_the_rate_of_loads() {
     with_platform(|address| async move {
@@ -193,9 +193,9 @@
     });
 }
 
-/// Guards against a host list that cannot be made wrong for a while.
+/// Guards against a fault that does not replace the host list, or that cannot be ended.
 #[test]
-fn host_list_shows_a_wrong_list_on_request() {
+fn host_list_returns_an_injected_wrong_list() {
     with_platform(|address| async move {
         let hosts = HttpHostList::new(address, options());
         let entry = |state| HostEntry {
@@ -203,12 +203,12 @@
             state,
         };
         let list = serde_json::to_string(&[entry(HostState::Live)]).unwrap();
-        control(address, Method::Post, "/hosts", &list).await;
+        send(address, Method::Post, "/hosts", &list).await;
         assert_eq!(hosts.hosts().await.unwrap(), [entry(HostState::Live)]);
         let wrong = r#"{"hosts":[{"host":"h1","state":"leaving"}]}"#;
-        control(address, Method::Post, "/faults", wrong).await;
+        send(address, Method::Post, "/faults", wrong).await;
         assert_eq!(hosts.hosts().await.unwrap(), [entry(HostState::Leaving)]);
-        control(address, Method::Post, "/faults", "{}").await;
+        send(address, Method::Post, "/faults", "{}").await;
         assert_eq!(hosts.hosts().await.unwrap(), [entry(HostState::Live)]);
     });
 }
