--- a/components/seeded/src/lib.rs
+++ b/components/seeded/src/lib.rs
@@ -1,26 +1,27 @@
-//! Property tests that give the same verdict every time. Never shipped.
+//! Reproducible property tests. Not part of a release.
 //!
-//! `quickcheck` draws a new seed for every run, so that a commit could pass one day and fail the
-//! next. Here the seed is fixed; `QUICKCHECK_SEED` gives another one and `QUICKCHECK_TESTS`
-//! another number of cases.
+//! `quickcheck` uses a random seed for each run, so the same commit could pass once and fail the
+//! next time. Here the seed is fixed. The environment variable `QUICKCHECK_SEED` overrides it, and
+//! `QUICKCHECK_TESTS` overrides the number of cases.
 
 pub use quickcheck as library;
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-/// Seed without `QUICKCHECK_SEED`.
+/// Seed if `QUICKCHECK_SEED` is unset or invalid.
 const DEFAULT_SEED: u64 = 1;
-/// Size of generated values, the default of the library.
+/// Size of generated values; the same as the default of `quickcheck`.
 const DEFAULT_SIZE: usize = 100;
 
-/// A checker with the seed of this run.
+/// A test runner with the seed of this run and the default size of generated values.
 #[must_use]
 pub fn check() -> QuickCheck {
     check_sized(DEFAULT_SIZE)
 }
 
-/// A checker with larger or smaller generated values.
+/// A test runner with the seed of this run and a size of generated values, such as the maximum
+/// length of vectors.
 #[must_use]
 pub fn check_sized(size: usize) -> QuickCheck {
     let seed = std::env::var("QUICKCHECK_SEED").ok();
@@ -29,7 +30,7 @@
     QuickCheck::new().rng(random)
 }
 
-/// Number of cases: `QUICKCHECK_TESTS`, or a default of the test.
+/// Number of cases: `QUICKCHECK_TESTS`, or the default of the test if it is unset or invalid.
 #[must_use]
 pub fn cases(default: u64) -> u64 {
     let cases = std::env::var("QUICKCHECK_TESTS").ok();
@@ -38,7 +39,7 @@
         .unwrap_or(default)
 }
 
-/// Makes each function a test of the property that it states, like the macro of the library.
+/// Turns each function into a property test with the fixed seed, like `quickcheck::quickcheck!`.
 #[macro_export]
 macro_rules! quickcheck {
     ($($(#[$meta:meta])* fn $name:ident($($argument:ident : $kind:ty),* $(,)?) -> $result:ty $body:block)*) => {
--- a/components/standin/src/engine/resume.rs
+++ b/components/standin/src/engine/resume.rs
@@ -168,10 +168,10 @@
     let mut head = responses::head(200, reader.plan.content_type());
     head.insert_header("x-prefix-digest", blake3::hash(before).to_hex().as_str());
     // Errors are ignored: a client that disconnects may resume again.
-    let _ = follow(&mut reader, head, rest, exchange).await;
+    let _ = send_rest(&mut reader, head, rest, exchange).await;
 }
 
-async fn follow(
+async fn send_rest(
     reader: &mut Reader,
     head: http_types::Response,
     rest: &[u8],
--- a/components/standin/src/engine/server.rs
+++ b/components/standin/src/engine/server.rs
@@ -22,8 +22,8 @@
 use crate::engine::options::EngineOptions;
 use crate::engine::resume;
 use crate::engine::state::EngineCore;
-use crate::engine::state::OrderBody;
 use crate::engine::state::OrderDecision;
+use crate::engine::state::OrderRequest;
 use crate::engine::state::consume_fault;
 use crate::priority_lock::PriorityLock;
 use crate::responses;
@@ -134,7 +134,7 @@
     }
 
     async fn handle_order(&self, request: &Request, exchange: &mut Exchange) {
-        let Ok(body) = serde_json::from_slice::<OrderBody>(&request.body) else {
+        let Ok(body) = serde_json::from_slice::<OrderRequest>(&request.body) else {
             responses::send(exchange, 400, &json!({"error": "body is not an order"})).await;
             return;
         };
@@ -170,7 +170,7 @@
     }
 
     /// Executes an accepted order in the background.
-    fn execute_order(&self, body: OrderBody, away_ms: Duration, crashes: bool) {
+    fn execute_order(&self, body: OrderRequest, away_ms: Duration, crashes: bool) {
         let core = self.core.clone();
         let epoch = core.borrow().epoch;
         self.executor
--- a/components/standin/src/engine/state.rs
+++ b/components/standin/src/engine/state.rs
@@ -25,7 +25,7 @@
 
 /// Response to `GET /state`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StateAnswer {
+pub struct StateResponse {
     /// Loaded model and adapters.
     pub loaded: Loaded,
     /// Current role.
@@ -38,7 +38,7 @@
 
 /// Response to `GET /load`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadAnswer {
+pub struct LoadResponse {
     /// Age of the sample.
     pub age_ms: u32,
     /// Prompt tokens still to be processed.
@@ -51,7 +51,7 @@
 
 /// Body of `POST /orders`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderBody {
+pub struct OrderRequest {
     /// Order number.
     pub number: OrderNumber,
     /// Fencing number.
@@ -75,7 +75,7 @@
 pub struct EngineCore {
     pub options: EngineOptions,
     pub faults: EngineFaults,
-    pub state: StateAnswer,
+    pub state: StateResponse,
     pub cache: PrefixCache,
     pub recorder: Recorder,
     pub started: Instant,
@@ -91,7 +91,7 @@
     pub decode_backlog_tokens: u64,
     /// Requests whose response can be resumed.
     pub resumable: Resumable,
-    samples: VecDeque<(Instant, LoadAnswer)>,
+    samples: VecDeque<(Instant, LoadResponse)>,
     next_run: u64,
 }
 
@@ -165,7 +165,7 @@
     }
 
     /// Decides on an order and marks it as in progress if it is accepted.
-    pub fn begin_order(&mut self, now: Instant, body: &OrderBody) -> OrderDecision {
+    pub fn begin_order(&mut self, now: Instant, body: &OrderRequest) -> OrderDecision {
         if consume_fault(&mut self.faults.refuse_orders) {
             return OrderDecision::Rejected;
         }
@@ -198,7 +198,7 @@
     }
 
     /// Applies the order in progress and ends the unavailability.
-    pub fn apply(&mut self, now: Instant, body: OrderBody) {
+    pub fn apply(&mut self, now: Instant, body: OrderRequest) {
         let loaded = &mut self.state.loaded;
         match body.order {
             OrderKind::LoadModel { model, version } => {
@@ -234,10 +234,10 @@
     }
 
     /// The latest load sample that is at least `load_lag_ms` old, or else the oldest one.
-    pub fn load(&mut self, now: Instant) -> LoadAnswer {
+    pub fn load(&mut self, now: Instant) -> LoadResponse {
         self.samples.push_back((
             now,
-            LoadAnswer {
+            LoadResponse {
                 age_ms: 0,
                 prefill_backlog_tokens: self.prefill_backlog_tokens,
                 decode_backlog_tokens: self.decode_backlog_tokens,
@@ -250,17 +250,17 @@
         let lag = Duration::from_millis(self.options.load_lag_ms);
         let reported = self.samples.iter().rev().find(|(at, _)| now >= *at + lag);
         let Some((at, sample)) = reported.or_else(|| self.samples.front()) else {
-            return LoadAnswer::default();
+            return LoadResponse::default();
         };
-        LoadAnswer {
+        LoadResponse {
             age_ms: u32::try_from(millis(now.saturating_duration_since(*at))).unwrap_or(u32::MAX),
             ..sample.clone()
         }
     }
 }
 
-fn initial_state(options: &EngineOptions) -> StateAnswer {
-    StateAnswer {
+fn initial_state(options: &EngineOptions) -> StateResponse {
+    StateResponse {
         loaded: Loaded {
             model: options.model.clone(),
             version: options.version.clone(),
--- a/components/standin/src/platform/handler.rs
+++ b/components/standin/src/platform/handler.rs
@@ -180,7 +180,7 @@
             return Reply::Silent;
         }
         with_parsed(body, |request: TableRequest| {
-            if self.is_drawn(self.faults.dropped_share) {
+            if self.occurs(self.faults.dropped_share) {
                 return Reply::Lost;
             }
             let reply = self.rows.apply(&request);
@@ -196,10 +196,10 @@
             self.faults.lose_replies -= 1;
             return true;
         }
-        self.is_drawn(self.faults.lost_share)
+        self.occurs(self.faults.lost_share)
     }
 
-    fn is_drawn(&mut self, probability: f64) -> bool {
+    fn occurs(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.random.random_range(0.0..1.0) < probability
     }
 
--- a/components/testbed/src/configuration.rs
+++ b/components/testbed/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The profiles and services of a deployment.
+//! Creates the profiles and services of a deployment.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,9 +14,10 @@
 use crate::deployment::MODEL_SERVICE;
 use crate::deployment::PLAIN_SERVICE;
 
-/// Time for everything to come up.
-const START_MS: Duration = Duration::from_secs(30);
-const POLL_MS: Duration = Duration::from_millis(100);
+/// Longest wait until commands succeed and targets accept requests.
+const START_TIMEOUT_MS: Duration = Duration::from_secs(30);
+/// Interval between attempts.
+const POLL_INTERVAL_MS: Duration = Duration::from_millis(100);
 
 impl Deployment {
     pub(crate) async fn configure(&self) -> eyre::Result<()> {
@@ -39,7 +40,7 @@
             service(PLAIN_SERVICE, ServiceKind::Plain, "work-order"),
         ];
         for command in commands {
-            self.execute_until_done(command).await?;
+            self.execute_with_retry(command).await?;
         }
         for entry in 0..self.plan.entries {
             self.wait_for_targets(entry).await?;
@@ -47,32 +48,32 @@
         Ok(())
     }
 
-    async fn execute_until_done(&self, command: Command) -> eyre::Result<()> {
-        let request = request(command);
-        let until = Instant::now() + START_MS;
+    async fn execute_with_retry(&self, command: Command) -> eyre::Result<()> {
+        let request = command_request(command);
+        let deadline = Instant::now() + START_TIMEOUT_MS;
         loop {
             match self.operators(0).execute(&request).await {
                 Ok(_) => return Ok(()),
-                Err(error) if Instant::now() > until => {
-                    return Err(eyre::eyre!("cannot configure: {error}"));
+                Err(error) if Instant::now() > deadline => {
+                    return Err(eyre::eyre!("cannot create profiles and services: {error}"));
                 }
-                Err(_) => Timer::after(POLL_MS).await,
+                Err(_) => Timer::after(POLL_INTERVAL_MS).await,
             };
         }
     }
 
     async fn wait_for_targets(&self, entry: usize) -> eyre::Result<()> {
-        let until = Instant::now() + START_MS;
-        while Instant::now() < until {
-            if self.open_targets(entry).await == self.plan.engines + 1 {
+        let deadline = Instant::now() + START_TIMEOUT_MS;
+        while Instant::now() < deadline {
+            if self.count_open_targets(entry).await == self.plan.engines + 1 {
                 return Ok(());
             }
-            Timer::after(POLL_MS).await;
+            Timer::after(POLL_INTERVAL_MS).await;
         }
-        Err(eyre::eyre!("targets do not come up at entry {entry}"))
+        Err(eyre::eyre!("not all targets are open at entry {entry}"))
     }
 
-    async fn open_targets(&self, entry: usize) -> usize {
+    async fn count_open_targets(&self, entry: usize) -> usize {
         let Ok(status) = self.operators(entry).status().await else {
             return 0;
         };
@@ -80,7 +81,7 @@
     }
 }
 
-pub(crate) fn request(command: Command) -> CommandRequest {
+pub(crate) fn command_request(command: Command) -> CommandRequest {
     CommandRequest {
         command,
         reason: "testbed".to_owned(),
--- a/components/testbed/src/daemon.rs
+++ b/components/testbed/src/daemon.rs
@@ -1,12 +1,12 @@
-//! Running as one of the daemons.
+//! Runs the program as one of the daemons.
 
 use std::path::Path;
 use std::process::ExitCode;
 
-/// First argument of a program that is to run as a daemon.
+/// First command-line argument that makes the program run as a daemon.
 pub const DAEMON: &str = "daemon";
 
-/// Runs as a daemon if the arguments say so: `daemon entry|agent|gateway FILE`.
+/// Runs a daemon if the arguments are `daemon entry|agent|gateway FILE`; otherwise `None`.
 #[must_use]
 pub fn run_if_daemon() -> Option<ExitCode> {
     let arguments: Vec<String> = std::env::args().collect();
--- a/components/testbed/src/deployment.rs
+++ b/components/testbed/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The processes of a deployment, their settings and their addresses.
+//! Processes of a deployment, their settings and their addresses.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,77 +19,79 @@
 use standin::ports::free_address;
 use types::OrderKind;
 
-use crate::configuration::request;
+use crate::configuration::command_request;
 use crate::daemon::DAEMON;
 use crate::process::Process;
 use crate::standins;
 
-/// Service of the engines.
+/// Service that the engines serve.
 pub const MODEL_SERVICE: &str = "modelos-bitacora";
-/// Plain service, whose calls may not be repeated.
+/// Plain service, whose requests are not idempotent.
 pub const PLAIN_SERVICE: &str = "ordenes-mulas";
-const TOKEN: &str = "testbed-token-of-the-operator-000001";
-/// Secret of the key with the id 1, which all daemons start with.
-pub const KEY: &str = "8f0c3a5e7d1b49628f0c3a5e7d1b49628f0c3a5e7d1b49628f0c3a5e7d1b4962";
-/// Largest answer of a stand-in's counters.
-const COUNTERS_LIMIT_BYTES: usize = 256 << 20;
+const OPERATOR_TOKEN: &str = "testbed-token-of-the-operator-000001";
+/// Secret of the key with id 1, with which all daemons are started.
+pub const INITIAL_KEY_SECRET: &str =
+    "8f0c3a5e7d1b49628f0c3a5e7d1b49628f0c3a5e7d1b49628f0c3a5e7d1b4962";
+/// Largest response of a stand-in; counters list every run.
+const RESPONSE_LIMIT_BYTES: usize = 256 << 20;
 
-/// What to start.
+/// Options of a deployment.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Engines; the last one ignores fencing numbers.
+    /// Number of engines; the last one ignores fencing numbers.
     pub engines: usize,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Engines answer at once.
+    /// Whether engines respond without simulated delays.
     pub instant: bool,
-    /// A forwarder stands between entries and agents.
+    /// Whether a forwarder connects entries to agents, so that their traffic can be dropped.
     pub forwarder: bool,
-    /// Times of the plain service.
+    /// Response delay of the plain service.
     pub plain_delay_ms: u64,
-    /// Entries log every request.
+    /// Whether entries log every request.
     pub log_requests: bool,
 }
 
 /// Addresses of one entry.
 #[derive(Debug, Clone, Copy)]
 pub struct EntryAddresses {
-    /// HTTP for callers.
+    /// HTTP API for callers.
     pub callers: SocketAddr,
-    /// HTTP for operators.
+    /// HTTP API for operators.
     pub operators: SocketAddr,
     peers: SocketAddr,
 }
 
-/// Everything that runs.
+/// A running deployment. Stand-ins run until the program ends; daemons are killed on drop.
 pub struct Deployment {
     pub(crate) plan: Plan,
-    folder: PathBuf,
-    /// The platform stand-in.
+    directory: PathBuf,
+    /// Address of the stand-in platform.
     pub platform: SocketAddr,
-    /// Control port of the forwarder.
+    /// Control address of the forwarder, if the plan has one.
     pub forwarder: SocketAddr,
-    /// The engine stand-ins.
+    /// Addresses of the stand-in engines.
     pub engines: Vec<SocketAddr>,
-    /// The plain service stand-in.
+    /// Address of the stand-in plain service.
     pub plain: SocketAddr,
     addresses: Vec<EntryAddresses>,
-    /// Entries, in order.
+    /// Entry processes, by index.
     pub entries: RefCell<Vec<Process>>,
-    /// Agents of the engines in order, then that of the plain service.
+    /// Agent processes of the engines by index, then that of the plain service.
     pub agents: RefCell<Vec<Process>>,
 }
 
 impl Deployment {
-    /// Starts everything and waits until every target takes work at every entry.
+    /// Starts everything and waits until every target is open at every entry.
     ///
     /// # Errors
     ///
-    /// A process cannot be started, or the targets do not come up.
+    /// A process cannot be started, or not all targets open in time.
     pub async fn start(plan: Plan) -> eyre::Result<Self> {
         let name = format!("chervilspool-testbed-{}", std::process::id());
-        let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).wrap_err("cannot make a folder for settings")?;
+        let directory = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&directory)
+            .wrap_err("cannot create the directory for settings and logs")?;
         let mut addresses = Vec::new();
         for _ in 0..plan.entries {
             addresses.push(EntryAddresses {
@@ -100,7 +102,7 @@
         }
         let engines = (0..plan.engines).map(|_| free_address()).collect();
         let deployment = Self {
-            folder,
+            directory,
             platform: free_address(),
             forwarder: free_address(),
             engines,
@@ -116,13 +118,13 @@
         Ok(deployment)
     }
 
-    /// Callers' addresses of the entries.
+    /// Address of each entry for callers.
     #[must_use]
     pub fn callers(&self) -> Vec<SocketAddr> {
-        self.addresses.iter().map(|a| a.callers).collect()
+        self.addresses.iter().map(|entry| entry.callers).collect()
     }
 
-    /// Name of a target: engines in order, then the plain service.
+    /// Name of a target: engines by index, then the plain service.
     #[must_use]
     pub fn target(&self, index: usize) -> String {
         if index < self.plan.engines {
@@ -132,64 +134,65 @@
         }
     }
 
-    /// Name of a target's host.
+    /// Name of the host of a target.
     #[must_use]
     pub fn host(&self, index: usize) -> String {
         format!("host-{}", self.target(index))
     }
 
-    /// Operators' port of an entry.
+    /// Client of the operators' API of an entry.
     #[must_use]
     pub fn operators(&self, entry: usize) -> OperatorsClient {
-        OperatorsClient::new(self.addresses[entry].operators, TOKEN)
+        OperatorsClient::new(self.addresses[entry].operators, OPERATOR_TOKEN)
     }
 
-    /// Gives an order to a target through an entry; true if it was accepted.
+    /// Orders a target to change through an entry; true if the entry accepted the command.
     pub async fn order(&self, entry: usize, target: &str, order: OrderKind) -> bool {
         let command = Command::OrderTarget {
             target: target.to_owned(),
             order,
         };
-        let request = request(command);
+        let request = command_request(command);
         self.operators(entry).execute(&request).await.is_ok()
     }
 
-    /// Replaces fields of a daemon's settings in its file; the daemon is not told.
+    /// Replaces fields in the settings file of a daemon, without reloading the daemon.
     ///
     /// # Errors
     ///
     /// The file cannot be read or written.
     pub fn change_settings(&self, daemon: &Process, fields: &Value) -> eyre::Result<()> {
-        let file = self.folder.join(format!("{}.jsonc", daemon.name()));
-        let shown = || format!("cannot change {}", file.display());
-        let text = std::fs::read_to_string(&file).wrap_err_with(shown)?;
-        let mut settings: Value = serde_json::from_str(&text).wrap_err_with(shown)?;
+        let file = self.directory.join(format!("{}.jsonc", daemon.name()));
+        let message = || format!("cannot change {}", file.display());
+        let text = std::fs::read_to_string(&file).wrap_err_with(message)?;
+        let mut settings: Value = serde_json::from_str(&text).wrap_err_with(message)?;
         for (field, value) in fields.as_object().into_iter().flatten() {
             settings[field] = value.clone();
         }
-        std::fs::write(&file, settings.to_string()).wrap_err_with(shown)
+        std::fs::write(&file, settings.to_string()).wrap_err_with(message)
     }
 
-    /// Stops entries and agents gracefully; returns those that did not end with status 0.
+    /// Stops entries and agents gracefully; returns the names of those that did not exit in time
+    /// with status 0.
     pub async fn stop(&self) -> Vec<String> {
-        let mut unclean = Vec::new();
+        let mut failed = Vec::new();
         for processes in [&self.entries, &self.agents] {
-            let taken: Vec<Process> = processes.borrow_mut().drain(..).collect();
-            for mut process in taken {
+            let stopping: Vec<Process> = processes.borrow_mut().drain(..).collect();
+            for mut process in stopping {
                 if !process.stop().await {
-                    unclean.push(process.name().to_owned());
+                    failed.push(process.name().to_owned());
                 }
             }
         }
-        unclean
+        failed
     }
 
-    /// Removes settings and logs, unless they are to be kept.
+    /// Removes settings and logs, or prints where they are if `keep` is set.
     pub fn clean_up(&self, keep: bool) {
         if keep {
-            eprintln!("logs are kept in {}", self.folder.display());
+            eprintln!("logs are kept in {}", self.directory.display());
         } else {
-            let _ = std::fs::remove_dir_all(&self.folder);
+            let _ = std::fs::remove_dir_all(&self.directory);
         }
     }
 
@@ -253,7 +256,7 @@
             "host": self.host(index), "region": "testbed", "place": "bolson-centro",
             "listen": listen, "advertise": advertise,
             "platform": self.platform_settings(),
-            "keys": [{"id": 1, "secret": KEY}],
+            "keys": [{"id": 1, "secret": INITIAL_KEY_SECRET}],
             "order_poll_ms": 500, "order_settle_ms": 500, "drain": {"notice_ms": 300},
         });
         let process = self.start_daemon("agent", &format!("agent-{name}"), &settings)?;
@@ -278,8 +281,8 @@
                 },
                 "peers": peers,
                 "platform": self.platform_settings(),
-                "keys": [{"id": 1, "secret": KEY}],
-                "operators": [{"name": "testbed", "token": TOKEN}],
+                "keys": [{"id": 1, "secret": INITIAL_KEY_SECRET}],
+                "operators": [{"name": "testbed", "token": OPERATOR_TOKEN}],
                 "caller_identity": {"header": "X-Caller"},
                 "intervals": {"balancer_notice_ms": 200, "lease_ms": 2000},
                 "log": {"level": if self.plan.log_requests { "debug" } else { "info" }},
@@ -291,13 +294,14 @@
     }
 
     fn start_daemon(&self, kind: &str, name: &str, settings: &Value) -> eyre::Result<Process> {
-        let file = self.folder.join(format!("{name}.jsonc"));
+        let file = self.directory.join(format!("{name}.jsonc"));
         std::fs::write(&file, settings.to_string())
             .wrap_err_with(|| format!("cannot write {}", file.display()))?;
-        let program = std::env::current_exe().wrap_err("cannot find this program")?;
+        let program =
+            std::env::current_exe().wrap_err("cannot determine the path of this executable")?;
         let file = file.display().to_string();
         let arguments = [DAEMON.to_owned(), kind.to_owned(), file];
-        Process::start(name, &program, &arguments, &self.folder)
+        Process::start(name, &program, &arguments, &self.directory)
     }
 
     fn platform_settings(&self) -> Value {
@@ -306,7 +310,7 @@
     }
 }
 
-/// Calls a stand-in; `None` if it does not answer.
+/// Sends a request to a stand-in; `None` without a response that can be decoded.
 pub async fn call<T: DeserializeOwned>(
     address: SocketAddr,
     method: Method,
@@ -314,7 +318,7 @@
     body: Option<&impl Serialize>,
 ) -> Option<T> {
     let limits = ClientLimits {
-        body_limit_bytes: COUNTERS_LIMIT_BYTES,
+        body_limit_bytes: RESPONSE_LIMIT_BYTES,
         ..ClientLimits::default()
     };
     let client = Client::new(address, limits);
--- a/components/testbed/src/gateways.rs
+++ b/components/testbed/src/gateways.rs
@@ -1,7 +1,7 @@
-//! Gateways as processes, with stand-ins for the users' platform around them in this process.
+//! Gateway processes, with stand-ins for the users' platform that run in this process.
 //!
-//! Every gateway has a loopback address of its own and reaches the store through a forwarder of
-//! its own, which a test can silence. Engines are reached directly.
+//! Each gateway has its own loopback address and connects to the store through its own forwarder,
+//! which a test can make drop traffic. Gateways connect to engines directly.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -40,52 +40,52 @@
 
 use crate::Process;
 
-/// Table of the engines' entries.
+/// Store table with one row per registered engine.
 const ENTRIES_TABLE: &str = "servers";
-/// Row of the configuration, as logs name it.
+/// Row of the configuration as `table/key`, as in logs.
 pub const CONFIGURATION_ROW: &str = "op/config";
-/// Field in which an engine signs its answers.
+/// Response header that identifies the engine and the request.
 pub const SIGNATURE: &str = "x-response-signature";
-/// Host that all routes are for.
+/// Value of the `Host` header that all routes match.
 pub const HOST: &str = "desk.example";
-/// Service with prefill and decode engines.
+/// Service of the prefill and decode engines.
 pub const MODEL_SERVICE: &str = "drafts";
-/// Plain service.
+/// Service of the plain engines.
 pub const PLAIN_SERVICE: &str = "desk";
-/// Longest wait for something that has to come about.
-const PATIENCE_MS: Duration = Duration::from_secs(10);
-/// Time between two looks whether it has.
-const LOOK_MS: Duration = Duration::from_millis(20);
+/// Longest wait for a gateway to become ready.
+const READY_TIMEOUT_MS: Duration = Duration::from_secs(10);
+/// Interval between readiness checks.
+const POLL_INTERVAL_MS: Duration = Duration::from_millis(20);
 
-/// A gateway.
+/// A gateway process and its addresses.
 pub struct Gateway {
-    /// Process.
+    /// The daemon.
     pub process: Process,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the load balancer asks.
+    /// Address of the readiness check of the load balancer.
     pub ready: SocketAddr,
     /// Settings file.
     pub boot: PathBuf,
-    /// Control of the forwarder to the store.
+    /// Control address of the forwarder to the store.
     pub store_link: SocketAddr,
 }
 
-/// Stand-ins and gateways.
+/// Gateways with their stand-ins.
 pub struct GatewayBed {
-    /// Store.
+    /// Stand-in for the store of the platform.
     pub store: Rc<FeedStore>,
-    /// Engines, whether they are registered or not.
+    /// Stand-in engines and their addresses, whether registered or not.
     pub engines: Vec<(Rc<StagedEngine>, SocketAddr)>,
-    /// What the engines ran.
+    /// Runs of all engines.
     pub ledger: Rc<RefCell<Ledger>>,
-    /// Gateways.
+    /// Gateways, by number from 0.
     pub gateways: Vec<Gateway>,
     executor: Rc<LocalExecutor<'static>>,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
-/// Engines to begin with.
+/// Initial engines.
 const ENGINES: [(&str, Stage); 7] = [
     ("plain-1", Stage::Plain),
     ("plain-2", Stage::Plain),
@@ -97,18 +97,19 @@
 ];
 
 impl GatewayBed {
-    /// Starts the stand-ins and as many gateways, by `program` with `arguments` before the path of
-    /// the settings. Files go to `folder`.
+    /// Starts the stand-ins and the given number of gateways, and waits until these are ready. A
+    /// gateway is started as `program` with `arguments` and the path of its settings file. Settings
+    /// and logs are written to `directory`.
     ///
     /// # Errors
     ///
-    /// Something cannot be started.
+    /// A stand-in or a gateway cannot be started, or a gateway does not become ready in time.
     pub async fn start(
         executor: Rc<LocalExecutor<'static>>,
         program: &Path,
         arguments: &[&str],
         gateways: usize,
-        folder: &Path,
+        directory: &Path,
     ) -> eyre::Result<Self> {
         let store = Rc::new(FeedStore::default());
         let mut bed = Self {
@@ -117,7 +118,7 @@
             ledger: Rc::default(),
             gateways: Vec::new(),
             executor: executor.clone(),
-            folder: folder.to_owned(),
+            directory: directory.to_owned(),
         };
         let store_address = bed.serve(Rc::new(FeedStoreHandler(store))).await?;
         for (name, stage) in ENGINES {
@@ -125,7 +126,7 @@
         }
         bed.configure(1, &[]);
         for number in 0..gateways {
-            bed.add_gateway(program, arguments, number, store_address)?;
+            bed.start_gateway(program, arguments, number, store_address)?;
         }
         for number in 0..gateways {
             bed.wait_until_ready(number).await?;
@@ -137,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// No address is free.
+    /// No port is free.
     pub async fn add_engine(&mut self, name: &str, stage: Stage) -> eyre::Result<()> {
         let engine = Rc::new(StagedEngine {
             name: name.to_owned(),
@@ -153,7 +154,7 @@
         Ok(())
     }
 
-    /// Writes the entry of an engine.
+    /// Writes the store row of an engine, with a state such as `ready` or `draining`.
     pub fn register(&self, name: &str, state: &str) {
         let Some((engine, address)) = self.engines.iter().find(|(e, _)| e.name == name) else {
             return;
@@ -173,23 +174,23 @@
         self.write_entry(name, entry.to_string().as_bytes());
     }
 
-    /// Writes any bytes as the entry of an engine.
+    /// Writes the store row of an engine, valid or not.
     pub fn write_entry(&self, name: &str, bytes: &[u8]) {
         self.store.put(ENTRIES_TABLE, name, bytes);
     }
 
-    /// Writes any bytes as the configuration.
+    /// Writes the configuration row, valid or not.
     pub fn write_configuration(&self, bytes: &[u8]) {
         let (table, key) = CONFIGURATION_ROW.split_once('/').unwrap_or_default();
         self.store.put(table, key, bytes);
     }
 
-    /// Removes the entry of an engine.
+    /// Removes the store row of an engine.
     pub fn unregister(&self, name: &str) {
         self.store.remove(ENTRIES_TABLE, name);
     }
 
-    /// Changes how all engines of a stage behave, or all of them.
+    /// Sets the mode of all engines of a stage, or of all engines if `stage` is `None`.
     pub fn set_mode(&self, stage: Option<Stage>, mode: EngineMode) {
         for (engine, _) in &self.engines {
             if stage.is_none_or(|stage| stage == engine.stage) {
@@ -198,8 +199,9 @@
         }
     }
 
-    /// Writes a configuration; `more` lists prefixes of further idempotent routes.
-    pub fn configure(&self, version: u64, more: &[&str]) {
+    /// Writes a configuration with the standard routes, and a safe route of the plain service for
+    /// each of `prefixes`.
+    pub fn configure(&self, version: u64, prefixes: &[&str]) {
         let route = |name: &str, prefix: &str, kind: &str, service: &str, resumable: bool| {
             json!({
                 "name": name, "host": HOST, "pathPrefix": prefix, "kind": kind,
@@ -214,7 +216,8 @@
             route("tag", "/tag/", "streaming", MODEL_SERVICE, true),
         ];
         routes.extend(
-            more.iter()
+            prefixes
+                .iter()
                 .map(|prefix| route(prefix, prefix, "safe", PLAIN_SERVICE, false)),
         );
         let engine = json!({
@@ -234,39 +237,39 @@
         self.write_configuration(configuration.to_string().as_bytes());
     }
 
-    /// Asks whether a gateway takes callers.
+    /// Whether a gateway reports that it accepts callers.
     pub async fn is_ready(&self, number: usize) -> bool {
-        let client = Client::new(self.gateways[number].ready, quick());
+        let client = Client::new(self.gateways[number].ready, short_timeouts());
         let Ok(request) = client.request(Method::Get, "/ready") else {
             return false;
         };
-        matches!(client.send_whole(request).await, Ok(answer) if answer.status.is_success())
+        matches!(client.send_whole(request).await, Ok(response) if response.status.is_success())
     }
 
-    /// Waits until a gateway takes callers.
+    /// Waits until a gateway accepts callers.
     ///
     /// # Errors
     ///
-    /// It does not within some seconds.
+    /// It is not ready within 10 s, or its log cannot be read.
     pub async fn wait_until_ready(&self, number: usize) -> eyre::Result<()> {
-        let until = Instant::now() + PATIENCE_MS;
-        while Instant::now() < until {
+        let deadline = Instant::now() + READY_TIMEOUT_MS;
+        while Instant::now() < deadline {
             if self.is_ready(number).await {
                 return Ok(());
             }
-            Timer::after(LOOK_MS).await;
+            Timer::after(POLL_INTERVAL_MS).await;
         }
         let log = self.gateways[number].process.logged()?;
         eyre::bail!("gateway {number} is not ready: {log}")
     }
 
-    /// Changes what a gateway's link to the store lets through.
+    /// Sets which traffic the forwarder between a gateway and the store drops.
     ///
     /// # Errors
     ///
-    /// The forwarder does not answer.
+    /// The forwarder does not respond.
     pub async fn set_store_link(&self, number: usize, mode: Mode) -> eyre::Result<()> {
-        let client = Client::new(self.gateways[number].store_link, quick());
+        let client = Client::new(self.gateways[number].store_link, short_timeouts());
         let mut request = client.request(Method::Post, "/mode")?;
         request.set_body(serde_json::to_vec(&mode)?);
         client.send_whole(request).await?;
@@ -276,28 +279,28 @@
     async fn serve(&self, handler: Rc<dyn http::Handler>) -> eyre::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (running, stop) = smol::channel::bounded(1);
+        let (stop_sender, stop) = smol::channel::bounded(1);
         let limits = http::ServerLimits::default();
-        let serving = http::serve(listener, limits, handler, self.executor.clone(), stop);
+        let server = http::serve(listener, limits, handler, self.executor.clone(), stop);
         self.executor
             .spawn(async move {
                 // Serves until the test ends.
-                let _ = serving.await;
-                drop(running);
+                let _ = server.await;
+                drop(stop_sender);
             })
             .detach();
         Ok(address)
     }
 
-    fn add_gateway(
+    fn start_gateway(
         &mut self,
         program: &Path,
         arguments: &[&str],
         number: usize,
         store: SocketAddr,
     ) -> eyre::Result<()> {
-        // The port of the metrics is fixed, so each gateway needs an address of its own.
-        let ip = own_address();
+        // The metrics port is fixed, so each gateway needs its own address.
+        let ip = unique_loopback_address();
         let link = Link {
             listen: ports::free_address(),
             target: store,
@@ -310,20 +313,24 @@
         let executor = self.executor.clone();
         self.executor
             .spawn(async move {
-                // Forwards until the test ends; a port that was taken shows as a lost store.
+                // Runs until the test ends. If a port is already in use, the gateway cannot reach
+                // the store.
                 if let Err(error) = forwarder::serve(&options, executor).await {
                     eprintln!("forwarder: {error}");
                 }
             })
             .detach();
         let name = format!("gateway-{number}");
-        let boot = self.folder.join(format!("{name}.toml"));
+        let boot = self.directory.join(format!("{name}.toml"));
         fs::write(&boot, settings(&name, &ip, link.listen))
             .wrap_err_with(|| format!("cannot write {}", boot.display()))?;
-        let mut words: Vec<String> = arguments.iter().map(|&word| word.to_owned()).collect();
-        words.push(boot.display().to_string());
+        let mut command_line: Vec<String> = arguments
+            .iter()
+            .map(|&argument| argument.to_owned())
+            .collect();
+        command_line.push(boot.display().to_string());
         let gateway = Gateway {
-            process: Process::start(&name, program, &words, &self.folder)?,
+            process: Process::start(&name, program, &command_line, &self.directory)?,
             callers: format!("{ip}:8149").parse()?,
             ready: format!("{ip}:8141").parse()?,
             boot,
@@ -334,26 +341,26 @@
     }
 }
 
-/// Row of an engine's entry, as logs name it.
+/// Store row of an engine as `table/key`, as in logs.
 #[must_use]
 pub fn entry_row(name: &str) -> String {
     format!("{ENTRIES_TABLE}/{name}")
 }
 
-/// A loopback address that no other gateway of this process or of a neighbouring one has.
-fn own_address() -> String {
-    static TAKEN: AtomicU8 = AtomicU8::new(1);
+/// A loopback address that differs for each gateway of this process and of concurrent processes.
+fn unique_loopback_address() -> String {
+    static NEXT_ADDRESS: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let last = TAKEN.fetch_add(1, Ordering::Relaxed);
+    let last = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     format!("127.{}.{low}.{last}", 64 + high % 128)
 }
 
-fn quick() -> ClientLimits {
-    let patience_ms = Duration::from_secs(1);
+fn short_timeouts() -> ClientLimits {
+    let timeout_ms = Duration::from_secs(1);
     ClientLimits {
-        connect_ms: patience_ms,
-        head_ms: patience_ms,
-        stall_ms: patience_ms,
+        connect_ms: timeout_ms,
+        head_ms: timeout_ms,
+        stall_ms: timeout_ms,
         ..ClientLimits::default()
     }
 }
@@ -382,24 +389,24 @@
     )
 }
 
-/// A request as callers send it. `tokens` makes it one for a model.
+/// A request of a caller. It is for a model if `tokens` is set.
 #[derive(Debug, Clone)]
 pub struct Sent<'a> {
-    /// Id.
+    /// Request id, sent as `X-Attempt-Id`.
     pub id: &'a str,
-    /// Path.
+    /// Path; `/read/` is requested with GET, all others with POST.
     pub path: &'a str,
-    /// Time that the caller waits.
+    /// Time for which the caller waits, sent as `X-Deadline-Ms`.
     pub patience_ms: Duration,
-    /// Size of the prompt, of which nearly all is shared.
+    /// Tokens of the prompt, nine tenths of which are a prefix shared by all requests.
     pub tokens: Option<u32>,
 }
 
-/// Sends a request and collects the whole answer.
+/// Sends a request and reads the complete response.
 ///
 /// # Errors
 ///
-/// There is no whole answer.
+/// There is no complete response.
 pub async fn send(client: &Client, sent: &Sent<'_>) -> Result<WholeResponse, ClientError> {
     let method = if sent.path.starts_with("/read/") {
         Method::Get
--- a/components/testbed/src/lib.rs
+++ b/components/testbed/src/lib.rs
@@ -1,8 +1,8 @@
-//! A whole deployment on loopback, for chaos and for measurements. Never shipped.
+//! A complete deployment on loopback, for fault injection and benchmarks. Not part of a release.
 //!
-//! Agents and entries run as processes of their own: the program that uses this crate starts
-//! itself again as a daemon. Stand-ins run as threads, since nothing has to happen to them that
-//! their fault ports cannot do.
+//! Agents, entries and gateways run as separate processes: the program that uses this crate starts
+//! its own executable again as a daemon. Stand-ins run in the program itself, because all their
+//! faults can be injected over HTTP or by a method call.
 
 mod configuration;
 pub mod daemon;
--- a/components/testbed/src/process.rs
+++ b/components/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes that can be killed, paused and stopped.
+//! Child processes that tests can kill, pause, stop and restart.
 
 use std::fs::File;
 use std::path::Path;
@@ -15,10 +15,10 @@
 use rustix::process::kill_process;
 use smol::Timer;
 
-/// Longest graceful stop.
-const STOP_MS: Duration = Duration::from_secs(30);
+/// Longest wait for a graceful stop before the process is killed.
+const STOP_TIMEOUT_MS: Duration = Duration::from_secs(30);
 
-/// A program with its arguments, and its running process.
+/// A program with its arguments, and its process while it is running.
 pub struct Process {
     name: String,
     program: PathBuf,
@@ -28,7 +28,7 @@
 }
 
 impl Process {
-    /// Starts a program; its output goes to a log file.
+    /// Starts a program. Its output goes to the file `{name}.log` in a directory.
     ///
     /// # Errors
     ///
@@ -37,24 +37,24 @@
         name: &str,
         program: &Path,
         arguments: &[String],
-        folder: &Path,
+        directory: &Path,
     ) -> eyre::Result<Self> {
         let mut process = Self {
             name: name.to_owned(),
             program: program.to_owned(),
             arguments: arguments.to_vec(),
-            log: folder.join(format!("{name}.log")),
+            log: directory.join(format!("{name}.log")),
             child: None,
         };
         process.restart()?;
         Ok(process)
     }
 
-    /// Starts the program again.
+    /// Starts the program again with the same arguments; its output is appended to the log.
     ///
     /// # Errors
     ///
-    /// As `start`.
+    /// The program cannot be started or the log cannot be written.
     pub fn restart(&mut self) -> eyre::Result<()> {
         let log = File::options()
             .create(true)
@@ -72,7 +72,7 @@
             .spawn()
             .wrap_err_with(|| {
                 format!(
-                    "cannot start {}; the program was moved while it ran",
+                    "cannot start {}; it may have been moved since this program started",
                     self.program.display()
                 )
             })?;
@@ -80,20 +80,20 @@
         Ok(())
     }
 
-    /// Name for the log.
+    /// Name of the process, as in its log file.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Whether the process has ended by itself.
+    /// Whether the process has exited on its own.
     pub fn has_ended(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// Ends the process at once.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -101,28 +101,28 @@
         }
     }
 
-    /// Id of the process; `None` while it does not run.
+    /// Process id; `None` after a kill or a stop.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Pauses the process.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Resumes the process.
+    /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks the process to read its settings again.
+    /// Makes the process reload its settings, with SIGHUP.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// What the process has logged so far.
+    /// Contents of the log file.
     ///
     /// # Errors
     ///
@@ -132,15 +132,15 @@
             .wrap_err_with(|| format!("cannot read {}", self.log.display()))
     }
 
-    /// Stops the process gracefully; true if it ended with status 0.
+    /// Stops the process with SIGTERM; true if it exits in time with status 0, or is not running.
     pub async fn stop(&mut self) -> bool {
         self.resume();
         self.signal(Signal::TERM);
         let Some(mut child) = self.child.take() else {
             return true;
         };
-        let until = Instant::now() + STOP_MS;
-        while Instant::now() < until {
+        let deadline = Instant::now() + STOP_TIMEOUT_MS;
+        while Instant::now() < deadline {
             if let Ok(Some(status)) = child.try_wait() {
                 return status.success();
             }
--- a/components/testbed/src/standins.rs
+++ b/components/testbed/src/standins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on threads of their own, for the life of the process.
+//! Starts stand-ins on their own threads, where they run until the process ends.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -10,33 +10,33 @@
 use standin::plain::PlainOptions;
 use standin::platform::PlatformOptions;
 
-/// Starts the platform.
+/// Starts the stand-in platform.
 pub fn platform(listen: SocketAddr) {
     let options = PlatformOptions {
         listen,
         ..PlatformOptions::default()
     };
-    thread::spawn(move || report("platform", smol::block_on(standin::platform::run(options))));
+    thread::spawn(move || print_error("platform", smol::block_on(standin::platform::run(options))));
 }
 
-/// Starts an engine.
+/// Starts a stand-in engine.
 pub fn engine(options: EngineOptions) {
-    thread::spawn(move || report("engine", standin::engine::run(options)));
+    thread::spawn(move || print_error("engine", standin::engine::run(options)));
 }
 
-/// Starts a plain service.
+/// Starts a stand-in plain service with a response delay.
 pub fn plain(listen: SocketAddr, delay_ms: u64) {
     let options = PlainOptions { listen, delay_ms };
-    thread::spawn(move || report("plain service", standin::plain::run(&options)));
+    thread::spawn(move || print_error("plain service", standin::plain::run(&options)));
 }
 
-/// Starts the forwarder.
+/// Starts the forwarder with its control address and links.
 pub fn forwarder(control: SocketAddr, link: Vec<Link>) {
     let options = ForwarderOptions { control, link };
-    thread::spawn(move || report("forwarder", standin::forwarder::run(&options)));
+    thread::spawn(move || print_error("forwarder", standin::forwarder::run(&options)));
 }
 
-fn report(name: &str, result: Result<(), impl Display>) {
+fn print_error(name: &str, result: Result<(), impl Display>) {
     if let Err(error) = result {
         eprintln!("stand-in {name}: {error}");
     }
--- a/components/testbed/tests/reload.rs
+++ b/components/testbed/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of settings on real processes, under load.
+//! Reload of settings in real processes while requests are running.
 
 use std::cell::Cell;
 use std::process::ExitCode;
@@ -28,10 +28,10 @@
     plain_delay_ms: 1,
     log_requests: false,
 };
-const CALLERS: u32 = 6;
-/// Longest wait for an effect that is due within a second or two.
-const WAIT_MS: Duration = Duration::from_secs(30);
-const POLL_MS: Duration = Duration::from_millis(50);
+const CALLER_COUNT: u32 = 6;
+/// Longest wait for an effect that normally takes a second or two.
+const EFFECT_TIMEOUT_MS: Duration = Duration::from_secs(30);
+const POLL_INTERVAL_MS: Duration = Duration::from_millis(50);
 
 fn main() -> ExitCode {
     if let Some(code) = testbed::run_if_daemon() {
@@ -52,13 +52,13 @@
     let result = async {
         let entries = deployment.entries.take();
         let mut agents = deployment.agents.take();
-        rotates_keys_without_a_cut_request(&deployment, &entries, &agents, &executor).await?;
-        keeps_the_old_settings_when_a_file_cannot_be_used(&deployment, &mut agents[0]).await?;
-        shows_names_of_entries(&deployment).await?;
+        rotates_keys_without_failing_a_request(&deployment, &entries, &agents, &executor).await?;
+        keeps_the_old_settings_when_the_file_is_invalid(&deployment, &mut agents[0]).await?;
+        reports_entries_by_name(&deployment).await?;
         deployment.entries.replace(entries);
         deployment.agents.replace(agents);
-        let unclean = deployment.stop().await;
-        ensure!(unclean.is_empty(), "ended with an error: {unclean:?}");
+        let failed = deployment.stop().await;
+        ensure!(failed.is_empty(), "not stopped with status 0: {failed:?}");
         Ok(())
     }
     .await;
@@ -66,19 +66,22 @@
     result
 }
 
-/// Guards against daemons that refuse each other, on new connections or in datagrams, while one
-/// has the keys of the next step already and the other has not.
-async fn rotates_keys_without_a_cut_request(
+/// Guards against daemons that reject each other's new connections or datagrams while only one of
+/// them has the keys of the next rotation step.
+async fn rotates_keys_without_failing_a_request(
     deployment: &Deployment,
     entries: &[Process],
     agents: &[Process],
     executor: &LocalExecutor<'static>,
 ) -> eyre::Result<()> {
     let load = Rc::new(Load::default());
-    let callers: Vec<_> = (0..CALLERS)
+    let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|caller| {
             let entry = deployment.callers()[caller as usize % PLAN.entries];
-            executor.spawn(load.clone().call(caller, Client::new(entry, limits())))
+            executor.spawn(
+                load.clone()
+                    .send_requests(caller, Client::new(entry, limits())),
+            )
         })
         .collect();
     for ids in [&[1, 2][..], &[2, 1], &[2]] {
@@ -96,25 +99,31 @@
             reconnect(deployment, entries).await?;
         }
     }
-    // A probe that is not answered for 2 s closes a target.
+    // A target without a probe response for 2 s is closed.
     Timer::after(Duration::from_secs(3)).await;
     for entry in 0..PLAN.entries {
         let status = deployment.operators(entry).status().await;
         let status = status.map_err(|error| eyre::eyre!("{error}"))?.to_string();
         let open = status.matches("\"Open\"").count();
-        ensure!(open == PLAN.engines + 1, "targets are not open: {status}");
+        ensure!(
+            open == PLAN.engines + 1,
+            "not all targets are open at entry {entry}: {status}"
+        );
     }
-    load.stopping.set(true);
+    load.is_stopping.set(true);
     for caller in callers {
         caller.await?;
     }
-    eprintln!("reload: {} requests answered in full", load.answered.get());
-    ensure!(load.answered.get() > 0, "no request was answered");
+    eprintln!(
+        "reload: {} requests received a complete response",
+        load.completed.get()
+    );
+    ensure!(load.completed.get() > 0, "no request received a response");
     Ok(())
 }
 
-/// Guards against an agent that a bad file stops, or that takes over a part of it.
-async fn keeps_the_old_settings_when_a_file_cannot_be_used(
+/// Guards against an agent that exits because of an invalid settings file, or applies parts of it.
+async fn keeps_the_old_settings_when_the_file_is_invalid(
     deployment: &Deployment,
     agent: &mut Process,
 ) -> eyre::Result<()> {
@@ -126,10 +135,10 @@
         ),
         (json!({"order_poll_ms": 500, "keys": [key(3)]}), "keys"),
     ];
-    for (fields, named) in cases {
+    for (fields, invalid_field) in cases {
         let record = reload(deployment, agent, &fields, "settings not reloaded").await?;
         ensure!(
-            record["code"] == "CS2008" && record["field"] == named,
+            record["code"] == "CS2008" && record["field"] == invalid_field,
             "{record}"
         );
         let file = record["file"].as_str().unwrap_or_default();
@@ -138,15 +147,15 @@
             record["fix"].as_str().is_some_and(|fix| !fix.is_empty()),
             "{record}"
         );
-        ensure!(!agent.has_ended(), "the agent has ended");
+        ensure!(!agent.has_ended(), "the agent has exited");
     }
     let fields = json!({"keys": [key(2)], "log": {"level": "debug"}});
     reload(deployment, agent, &fields, "settings reloaded").await?;
     Ok(())
 }
 
-/// Guards against a status that operators have to read with a list of addresses beside it.
-async fn shows_names_of_entries(deployment: &Deployment) -> eyre::Result<()> {
+/// Guards against a status that identifies other entries only by their addresses.
+async fn reports_entries_by_name(deployment: &Deployment) -> eyre::Result<()> {
     let status = deployment.operators(0).status().await;
     let status = status.map_err(|error| eyre::eyre!("{error}"))?;
     let entries = &status["entries"];
@@ -155,7 +164,7 @@
     Ok(())
 }
 
-/// Changes the file of a daemon, tells it, and returns the record that it logs.
+/// Changes a daemon's settings file, reloads the daemon, and returns the log record with `message`.
 async fn reload(
     deployment: &Deployment,
     daemon: &Process,
@@ -174,23 +183,23 @@
     let before = records()?.len();
     deployment.change_settings(daemon, fields)?;
     daemon.reload();
-    let until = Instant::now() + WAIT_MS;
-    while Instant::now() < until {
+    let deadline = Instant::now() + EFFECT_TIMEOUT_MS;
+    while Instant::now() < deadline {
         if let Some(record) = records()?.get(before) {
             return Ok(record.clone());
         }
-        Timer::after(POLL_MS).await;
+        Timer::after(POLL_INTERVAL_MS).await;
     }
     eyre::bail!(
-        "{}: no record `{message}`: {}",
+        "{}: no log record `{message}`: {}",
         daemon.name(),
         daemon.logged()?
     )
 }
 
-/// Makes every connection to an engine go silent for good, so that a new one is opened.
+/// Drops all traffic of the existing connections, so that entries open new ones to every agent.
 async fn reconnect(deployment: &Deployment, entries: &[Process]) -> eyre::Result<()> {
-    let connected = || -> eyre::Result<Vec<usize>> {
+    let connection_counts = || -> eyre::Result<Vec<usize>> {
         let mut counts = Vec::new();
         for entry in entries {
             let log = entry.logged()?;
@@ -202,37 +211,37 @@
         }
         Ok(counts)
     };
-    let before = connected()?;
+    let before = connection_counts()?;
     let mode = json!({"silence": "existing"});
     testbed::call::<Value>(deployment.forwarder, Method::Post, "/mode", Some(&mode)).await;
-    let until = Instant::now() + WAIT_MS;
-    while Instant::now() < until {
-        if connected()?
+    let deadline = Instant::now() + EFFECT_TIMEOUT_MS;
+    while Instant::now() < deadline {
+        if connection_counts()?
             .iter()
             .zip(&before)
             .all(|(now, before)| now > before)
         {
             return Ok(());
         }
-        Timer::after(POLL_MS).await;
+        Timer::after(POLL_INTERVAL_MS).await;
     }
     eyre::bail!(
-        "not every engine was connected again: {before:?}, {:?}",
-        connected()?
+        "not all entries reconnected to all engines: {before:?} connections before, {:?} after",
+        connection_counts()?
     )
 }
 
 #[derive(Default)]
 struct Load {
-    stopping: Cell<bool>,
-    answered: Cell<u32>,
+    is_stopping: Cell<bool>,
+    completed: Cell<u32>,
 }
 
 impl Load {
-    /// Sends one request after the other; each must get its whole answer at the first try.
-    async fn call(self: Rc<Self>, caller: u32, client: Client) -> eyre::Result<()> {
+    /// Sends requests one after the other; each must get its own complete response without a retry.
+    async fn send_requests(self: Rc<Self>, caller: u32, client: Client) -> eyre::Result<()> {
         let mut number = 0;
-        while !self.stopping.get() {
+        while !self.is_stopping.get() {
             number += 1;
             let prompt = format!("hut {caller}-{number}");
             let body = json!({"model": "demo", "prompt": prompt, "max_tokens": 60});
@@ -242,17 +251,17 @@
             request.insert_header("content-type", "application/json");
             request.insert_header("x-caller", "reload");
             request.set_body(body.to_string());
-            let answer = client.send_whole(request).await;
-            let answer = answer.map_err(|error| eyre::eyre!("{prompt} was cut: {error}"))?;
-            let text = String::from_utf8_lossy(&answer.body).into_owned();
+            let response = client.send_whole(request).await;
+            let response = response.map_err(|error| eyre::eyre!("{prompt} failed: {error}"))?;
+            let text = String::from_utf8_lossy(&response.body).into_owned();
             let value: Value = serde_json::from_str(&text).unwrap_or_default();
-            let is_own = value["choices"][0]["text"] == answer_text(&prompt, 60);
+            let is_expected = value["choices"][0]["text"] == answer_text(&prompt, 60);
             ensure!(
-                is_own,
-                "{prompt} was answered with {}: {text}",
-                answer.status
+                is_expected,
+                "{prompt}: unexpected response with status {}: {text}",
+                response.status
             );
-            self.answered.set(self.answered.get() + 1);
+            self.completed.set(self.completed.get() + 1);
         }
         Ok(())
     }
@@ -260,14 +269,14 @@
 
 fn limits() -> ClientLimits {
     ClientLimits {
-        head_ms: WAIT_MS,
+        head_ms: EFFECT_TIMEOUT_MS,
         ..ClientLimits::default()
     }
 }
 
 fn key(id: u8) -> Value {
     let secret = match id {
-        1 => testbed::deployment::KEY.to_owned(),
+        1 => testbed::deployment::INITIAL_KEY_SECRET.to_owned(),
         _ => format!("{id:02x}").repeat(32),
     };
     json!({"id": id, "secret": secret})
