--- a/components/settings/src/agent.rs
+++ b/components/settings/src/agent.rs
@@ -14,58 +14,59 @@
 
 use crate::section::section;
 use crate::sections::Daemon;
-use crate::sections::Fault;
+use crate::sections::FieldError;
 use crate::sections::KeySettings;
 use crate::sections::Log;
 use crate::sections::PlatformAddresses;
-use crate::sections::first_fault;
-use crate::sections::rotate_keys;
+use crate::sections::first_failed_check;
+use crate::sections::validate_key_rotation;
 use crate::sections::validate_keys;
 
-/// Settings of an agent.
+/// Settings of an agent, which runs beside one target.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// Always `agent`.
+    /// Always [`Daemon::Agent`] in valid settings.
     pub daemon: Daemon,
-    /// Target beside the agent.
+    /// Target that the agent serves.
     pub target: TargetSettings,
-    /// Host that both run on, as the host list names it.
+    /// Host of the agent and the target, by its name in the host list.
     pub host: HostName,
-    /// Region of the place.
+    /// Region of the data centre.
     pub region: String,
-    /// Data centre.
+    /// Data centre of the host.
     pub place: Place,
-    /// Address to listen on for entries, TCP and UDP.
+    /// Address on which the agent listens for entries, over TCP and UDP.
     pub listen: SocketAddr,
-    /// Address that entries reach the agent by, if it differs from `listen`. It is written to
-    /// the table.
+    /// Address at which entries reach the agent, if it differs from `listen`. The agent writes it
+    /// to the table.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Addresses of the platform's services.
+    /// Addresses of the services of the platform.
     pub platform: PlatformAddresses,
-    /// Keys; the first one signs.
+    /// Shared keys of the daemons; the first one signs.
     pub keys: Vec<KeySettings>,
-    /// Requests at the target at once; further ones wait in the agent.
+    /// Maximum number of concurrent requests to the target; the agent queues further ones.
     #[serde(default = "default_concurrency")]
     pub concurrency: u32,
-    /// Between two reads of the order in the table while no entries announce orders.
+    /// Interval between reads of the target's order in the table while no entries announce orders.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(default = "default_order_poll_ms")]
     pub order_poll_ms: Duration,
-    /// The same while at least two entries announce orders.
+    /// Interval between these reads while at least two entries announce orders.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(default = "default_order_backup_poll_ms")]
     pub order_backup_poll_ms: Duration,
-    /// Wait after the start until orders of an earlier run cannot be in flight any more.
+    /// Time after which an order that was sent to the engine can no longer take effect, for example
+    /// one from before a restart of the agent.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(default = "default_order_settle_ms")]
     pub order_settle_ms: Duration,
-    /// Stopping.
+    /// Shutdown of the agent.
     #[serde(default)]
     pub drain: Drain,
-    /// Logs.
+    /// Log output.
     #[serde(default)]
     pub log: Log,
 }
@@ -74,24 +75,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSettings {
-    /// Name, unique within the deployment.
+    /// Name of the target, unique within the deployment.
     pub name: TargetName,
-    /// Service that it serves.
+    /// Service to which the target belongs.
     pub service: ServiceName,
     /// Engine (`model`) or plain service (`plain`).
     pub kind: ServiceKind,
     /// HTTP address of the engine or plain service.
     pub address: SocketAddr,
-    /// The engine refuses an order with an old fencing number.
+    /// Whether the engine refuses orders with an outdated fencing number.
     #[serde(default)]
     pub honours_fencing: bool,
 }
 
 section! {
-    /// Stopping of an agent.
+    /// Shutdown of an agent.
     Drain {
-        /// Wait between the report that the target is leaving and the end of the listener, so that
-        /// entries stop sending before connections are refused.
+        /// Time between the report that the target is leaving and the closing of the listener, so
+        /// that entries stop sending before connections are refused.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         notice_ms: Duration = Duration::from_secs(2),
     }
@@ -109,24 +110,24 @@
     Duration::from_secs(15)
 }
 
-/// Longer than the timeout of an order at the engine.
+/// Longer than the 5 s within which the engine has to accept an order.
 fn default_order_settle_ms() -> Duration {
     Duration::from_secs(10)
 }
 
 impl AgentSettings {
-    /// Checks every field on its own and against the others.
+    /// Checks the value of each field, and the fields against each other.
     ///
     /// # Errors
     ///
-    /// The first field that cannot work, and the fix.
-    pub fn validate(&self) -> Result<(), Fault> {
+    /// Returns the first invalid field and how to correct it.
+    pub fn validate(&self) -> Result<(), FieldError> {
         let target = &self.target;
-        first_fault(&[
+        first_failed_check(&[
             (
                 self.daemon == Daemon::Agent,
                 "daemon",
-                "this file is for `chervilspool entry`",
+                "this file has the settings of an entry; those of an agent are required",
             ),
             (
                 types::profile::is_name(&target.name),
@@ -141,19 +142,27 @@
             (
                 target.kind == ServiceKind::Model || !target.honours_fencing,
                 "target.honours_fencing",
-                "remove it; plain services get no orders",
+                "remove it; plain services receive no orders",
             ),
             (
                 target.address != self.listen,
                 "target.address",
-                "use the address of the target, not of the agent",
+                "use the address of the target; this is the agent's `listen` address",
+            ),
+            (
+                !self.host.is_empty(),
+                "host",
+                "must not be empty; use the name in the host list",
+            ),
+            (
+                !self.place.is_empty(),
+                "place",
+                "must not be empty; use the name of the data centre",
             ),
-            (!self.host.is_empty(), "host", "name the host"),
-            (!self.place.is_empty(), "place", "name the data centre"),
             (
                 !self.listen.ip().is_unspecified(),
                 "listen",
-                "state the address that entries reach this host by",
+                "use the address at which entries reach this host, not the wildcard address",
             ),
             (self.concurrency >= 1, "concurrency", "use at least 1"),
             (
@@ -180,13 +189,14 @@
         validate_keys(&self.keys)
     }
 
-    /// These settings with everything taken over from `new` that needs no restart.
+    /// Returns the settings that apply after a reload of a running agent.
     ///
     /// # Errors
     ///
-    /// The first field that differs and needs a restart.
-    pub fn reloaded(&self, new: &Self) -> Result<Self, Fault> {
-        let kept = [
+    /// Returns the first field that has changed but needs a restart, or `keys` if the change is
+    /// not a valid step of a key rotation.
+    pub fn reload(&self, new: &Self) -> Result<Self, FieldError> {
+        let restart_only = [
             ("target", self.target != new.target),
             ("host", self.host != new.host),
             ("region", self.region != new.region),
@@ -205,12 +215,12 @@
             ),
             ("drain", self.drain != new.drain),
         ];
-        match kept.iter().find(|(_, differs)| *differs) {
-            Some((field, _)) => Err(Fault {
+        match restart_only.iter().find(|(_, has_changed)| *has_changed) {
+            Some((field, _)) => Err(FieldError {
                 field: (*field).to_owned(),
                 fix: "restart the agent to change this field".to_owned(),
             }),
-            None => rotate_keys(&self.keys, &new.keys).map(|()| new.clone()),
+            None => validate_key_rotation(&self.keys, &new.keys).map(|()| new.clone()),
         }
     }
 }
--- a/components/settings/src/entry.rs
+++ b/components/settings/src/entry.rs
@@ -16,203 +16,218 @@
 use crate::section::section;
 use crate::sections::CallerIdentity;
 use crate::sections::Daemon;
-use crate::sections::Fault;
+use crate::sections::FieldError;
 use crate::sections::KeySettings;
 use crate::sections::Log;
 use crate::sections::OperatorSettings;
 use crate::sections::PlatformAddresses;
-use crate::sections::first_fault;
-use crate::sections::rotate_keys;
+use crate::sections::first_failed_check;
+use crate::sections::validate_key_rotation;
 use crate::sections::validate_keys;
 use crate::sections::validate_operators;
 
-/// Settings of an entry.
+/// Settings of an entry, which accepts requests of callers and routes them to targets.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Always `entry`.
+    /// Always [`Daemon::Entry`] in valid settings.
     pub daemon: Daemon,
-    /// Name, unique within the deployment.
+    /// Name of the entry, unique within the deployment.
     pub name: String,
-    /// Host that it runs on, as the host list names it.
+    /// Host of the entry, by its name in the host list.
     pub host: HostName,
-    /// Region of the place.
+    /// Region of the data centre.
     pub region: String,
-    /// Data centre.
+    /// Data centre of the host.
     pub place: Place,
-    /// One-way latency to other places.
+    /// One-way latency to other data centres; those that are not listed count as 1.5 ms away.
     #[serde(default)]
     #[serde_as(as = "BTreeMap<_, DurationMilliSecondsWithFrac<f64>>")]
     pub distance_ms: BTreeMap<Place, Duration>,
-    /// Addresses to listen on.
+    /// Addresses on which the entry listens.
     pub addresses: Addresses,
-    /// The other entries; this entry's own address is ignored.
+    /// Other entries; the entry's own address is ignored.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Addresses of the platform's services.
+    /// Addresses of the services of the platform.
     pub platform: PlatformAddresses,
-    /// Keys; the first one signs.
+    /// Shared keys of the daemons; the first one signs.
     pub keys: Vec<KeySettings>,
-    /// Operators; without any, every command is refused.
+    /// Operators that may send commands; without any, every command is refused.
     #[serde(default)]
     pub operators: Vec<OperatorSettings>,
-    /// How callers are told apart.
+    /// How callers are identified.
     #[serde(default)]
     pub caller_identity: CallerIdentity,
-    /// Limits of callers' connections.
+    /// Limits of callers' connections and requests.
     #[serde(default)]
     pub limits: Limits,
-    /// Share of the targets that the entry uses.
+    /// Size of the subset of targets that the entry uses.
     #[serde(default)]
     pub share: Share,
-    /// Intervals.
+    /// Poll intervals and lease durations.
     #[serde(default)]
     pub intervals: Intervals,
-    /// Logs.
+    /// Log output.
     #[serde(default)]
     pub log: Log,
 }
 
-/// Addresses that an entry listens on.
+/// Addresses on which an entry listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Addresses {
-    /// HTTP for callers.
+    /// HTTP server for callers.
     pub callers: SocketAddr,
-    /// HTTP for operators.
+    /// HTTP server for operators.
     pub operators: SocketAddr,
-    /// TCP and UDP for other entries and agents.
+    /// Connections and datagrams of other entries and of agents, over TCP and UDP.
     pub peers: SocketAddr,
 }
 
 section! {
-    /// Limits of an entry.
+    /// Limits of callers' connections and requests.
     Limits {
-        /// Callers' connections open at once.
+        /// Maximum number of open connections of callers.
         connections: usize = 4096,
-        /// Callers' requests in flight at once.
+        /// Maximum number of callers' requests in flight.
         requests: usize = 4096,
-        /// Bytes of bodies held at once, over all requests in flight.
+        /// Maximum total size of the buffered bodies of all requests in flight.
         held_bodies_bytes: usize = 512 << 20,
-        /// Largest head of a request.
+        /// Maximum size of a request head, that is the request line and the header fields.
         head_bytes: usize = 16 << 10,
-        /// Most fields in a head.
+        /// Maximum number of header fields of a request.
         head_fields: usize = 64,
-        /// Longest time in which a head arrives.
+        /// Timeout for reading a request head, from its first byte.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         head_ms: Duration = Duration::from_secs(10),
-        /// Longest time in which a body arrives.
+        /// Timeout for reading a request body, from the end of the head.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         body_ms: Duration = Duration::from_secs(30),
-        /// Longest time without a request on a connection.
+        /// Time after which a connection without a request is closed.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         idle_ms: Duration = Duration::from_secs(75),
-        /// Longest time in which a caller takes no byte of its answer.
+        /// Timeout for writing a response while the caller reads no byte of it.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         write_stall_ms: Duration = Duration::from_secs(30),
     }
 }
 
 section! {
-    /// Share of the targets that an entry uses.
+    /// Subset of the targets that an entry uses.
     Share {
-        /// Targets of each service.
+        /// Maximum number of targets of each service.
         targets: usize = 64,
     }
 }
 
 section! {
-    /// Intervals of an entry.
+    /// Poll intervals and lease durations of an entry.
     Intervals {
-        /// Between two reads of the revision in the table.
+        /// Interval between reads of the revision in the table.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         poll_ms: Duration = Duration::from_secs(1),
-        /// Between two probes of a target.
+        /// Interval between probes of a target.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         probe_ms: Duration = Duration::from_millis(500),
-        /// Silence after which an idle connection to an agent is pinged. A silent one that was
-        /// not noticed costs the next request up to 2 s.
+        /// Idle time after which a connection to an agent is pinged. A dead connection that has not
+        /// been detected delays the next request by up to 2 s.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         idle_ping_ms: Duration = Duration::from_secs(5),
-        /// Between two reads of the host list.
+        /// Interval between reads of the host list.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         hosts_poll_ms: Duration = Duration::from_secs(2),
-        /// Duration of a planning lease.
+        /// Duration of a planning lease. A stopping entry also waits at most this long for its last
+        /// writes to the table.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         lease_ms: Duration = Duration::from_secs(6),
-        /// Time until the load balancer has noticed that `/healthz` fails.
+        /// Time until the load balancer has detected that `/healthz` fails; a stopping entry keeps
+        /// accepting requests for this long.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         balancer_notice_ms: Duration = Duration::from_secs(5),
     }
 }
 
 impl EntrySettings {
-    /// Checks every field on its own and against the others.
+    /// Checks the value of each field, and the fields against each other.
     ///
     /// # Errors
     ///
-    /// The first field that cannot work, and the fix.
-    pub fn validate(&self) -> Result<(), Fault> {
-        first_fault(&[
+    /// Returns the first invalid field and how to correct it.
+    pub fn validate(&self) -> Result<(), FieldError> {
+        first_failed_check(&[
             (
                 self.daemon == Daemon::Entry,
                 "daemon",
-                "this file is for `chervilspool agent`",
+                "this file has the settings of an agent; those of an entry are required",
+            ),
+            (
+                !self.name.is_empty(),
+                "name",
+                "must not be empty; use a name that is unique within the deployment",
+            ),
+            (
+                !self.host.is_empty(),
+                "host",
+                "must not be empty; use the name in the host list",
+            ),
+            (
+                !self.place.is_empty(),
+                "place",
+                "must not be empty; use the name of the data centre",
             ),
-            (!self.name.is_empty(), "name", "name the entry"),
-            (!self.host.is_empty(), "host", "name the host"),
-            (!self.place.is_empty(), "place", "name the data centre"),
         ])?;
         self.validate_addresses()?;
         validate_peers(&self.peers, (&self.name, self.addresses.peers))?;
         validate_keys(&self.keys)?;
         validate_operators(&self.operators)?;
         self.limits.validate()?;
-        first_fault(&[(self.share.targets >= 8, "share.targets", "use at least 8")])?;
+        first_failed_check(&[(self.share.targets >= 8, "share.targets", "use at least 8")])?;
         self.intervals.validate()
     }
 
-    /// Addresses of `peers`, in order.
+    /// Addresses of `peers`, in the order of the file.
     pub fn peer_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.peers.iter().map(|peer| peer.address)
     }
 
-    /// Name of the entry that other entries reach by an address, if the settings state it.
+    /// Name of the peer with this address, if `peers` lists the address with a name.
     #[must_use]
     pub fn peer_name(&self, address: SocketAddr) -> Option<&str> {
         let peer = self.peers.iter().find(|peer| peer.address == address);
         peer?.name.as_deref()
     }
 
-    fn validate_addresses(&self) -> Result<(), Fault> {
+    fn validate_addresses(&self) -> Result<(), FieldError> {
         let addresses = self.addresses;
-        first_fault(&[
+        first_failed_check(&[
             (
                 addresses.callers != addresses.operators,
                 "addresses.operators",
-                "use another address than for callers",
+                "use an address that differs from `addresses.callers`",
             ),
             (
                 addresses.peers != addresses.callers && addresses.peers != addresses.operators,
                 "addresses.peers",
-                "use another address than for callers and operators",
+                "use an address that differs from `addresses.callers` and `addresses.operators`",
             ),
             (
                 !addresses.peers.ip().is_unspecified(),
                 "addresses.peers",
-                "state the address that other hosts reach this one by",
+                "use the address at which other hosts reach this one, not the wildcard address",
             ),
         ])
     }
 
-    /// These settings with everything taken over from `new` that needs no restart.
+    /// Returns the settings that apply after a reload of a running entry.
     ///
     /// # Errors
     ///
-    /// The first field that differs and needs a restart.
-    pub fn reloaded(&self, new: &Self) -> Result<Self, Fault> {
-        let kept = [
+    /// Returns the first field that has changed but needs a restart, or `keys` if the change is
+    /// not a valid step of a key rotation.
+    pub fn reload(&self, new: &Self) -> Result<Self, FieldError> {
+        let restart_only = [
             ("name", self.name != new.name),
             ("host", self.host != new.host),
             ("region", self.region != new.region),
@@ -229,20 +244,20 @@
             ("intervals", self.intervals != new.intervals),
             ("log", self.log != new.log),
         ];
-        match kept.iter().find(|(_, differs)| *differs) {
-            Some((field, _)) => Err(Fault {
+        match restart_only.iter().find(|(_, has_changed)| *has_changed) {
+            Some((field, _)) => Err(FieldError {
                 field: (*field).to_owned(),
                 fix: "restart the entry to change this field".to_owned(),
             }),
-            None => rotate_keys(&self.keys, &new.keys).map(|()| new.clone()),
+            None => validate_key_rotation(&self.keys, &new.keys).map(|()| new.clone()),
         }
     }
 }
 
 impl Limits {
-    fn validate(&self) -> Result<(), Fault> {
+    fn validate(&self) -> Result<(), FieldError> {
         let second = Duration::from_secs(1);
-        first_fault(&[
+        first_failed_check(&[
             (
                 self.connections >= 1,
                 "limits.connections",
@@ -289,42 +304,42 @@
 }
 
 impl Intervals {
-    fn validate(&self) -> Result<(), Fault> {
-        let within = |value: Duration, low_ms: u64, high_ms: u64| {
-            (Duration::from_millis(low_ms)..=Duration::from_millis(high_ms)).contains(&value)
+    fn validate(&self) -> Result<(), FieldError> {
+        let is_within = |value: Duration, min_ms: u64, max_ms: u64| {
+            (Duration::from_millis(min_ms)..=Duration::from_millis(max_ms)).contains(&value)
         };
-        first_fault(&[
-            // A change has to be in force everywhere within 4 s.
+        first_failed_check(&[
+            // Changes must be in force on every entry within 4 s.
             (
-                within(self.poll_ms, 100, 3000),
+                is_within(self.poll_ms, 100, 3000),
                 "intervals.poll_ms",
                 "use 100 to 3000",
             ),
-            // A target that answers no probe for 2 s takes no new work.
+            // A target that answers no probe for 2 s is sent no new requests.
             (
-                within(self.probe_ms, 50, 1000),
+                is_within(self.probe_ms, 50, 1000),
                 "intervals.probe_ms",
                 "use 50 to 1000",
             ),
-            // Agents close a connection after 3 minutes of silence.
+            // Agents close a connection on which they receive nothing for 3 minutes.
             (
-                within(self.idle_ping_ms, 500, 60_000),
+                is_within(self.idle_ping_ms, 500, 60_000),
                 "intervals.idle_ping_ms",
                 "use 500 to 60000",
             ),
-            // A leaving host receives no new work after 5 s.
+            // A leaving host must receive no new requests after 5 s.
             (
-                within(self.hosts_poll_ms, 100, 4000),
+                is_within(self.hosts_poll_ms, 100, 4000),
                 "intervals.hosts_poll_ms",
                 "use 100 to 4000",
             ),
             (
-                within(self.lease_ms, 1000, 60_000),
+                is_within(self.lease_ms, 1000, 60_000),
                 "intervals.lease_ms",
                 "use 1000 to 60000",
             ),
             (
-                within(self.balancer_notice_ms, 0, 60_000),
+                is_within(self.balancer_notice_ms, 0, 60_000),
                 "intervals.balancer_notice_ms",
                 "use 0 to 60000",
             ),
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,12 +1,12 @@
-//! Settings of the daemons, from files in JSON with comments.
+//! Settings of the daemons, read from files in JSON with comments.
 //!
-//! A file with an unknown field, a missing field or a value that cannot work stops the start; the
-//! error names file, line, field and the fix.
+//! A daemon does not start with a file that has an unknown field, lacks a required field or has an
+//! invalid value. The error states the file, the line, the field and how to correct it.
 //!
-//! These sections can be replaced while a daemon runs, without closing a connection: `keys`,
-//! `operators`, `limits` and the names in `peers` of an entry; `keys`, `concurrency` and `log` of an agent. Everything
-//! else needs a restart; [`EntrySettings::reloaded`] and [`AgentSettings::reloaded`] name the
-//! field that does.
+//! These fields can be reloaded while a daemon runs, without closing a connection: `keys`,
+//! `operators`, `limits` and the names in `peers` of an entry; `keys`, `concurrency` and `log` of
+//! an agent. All other fields need a restart; [`EntrySettings::reload`] and
+//! [`AgentSettings::reload`] return an error that names the first of them that has changed.
 
 mod agent;
 mod entry;
@@ -34,7 +34,7 @@
 pub use peer::Peer;
 pub use sections::CallerIdentity;
 pub use sections::Daemon;
-pub use sections::Fault;
+pub use sections::FieldError;
 pub use sections::KeySettings;
 pub use sections::Log;
 pub use sections::LogFormat;
--- a/components/settings/src/load.rs
+++ b/components/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading of settings files.
+//! Loading and reloading of settings files.
 
 use std::fmt;
 use std::fmt::Write;
@@ -17,18 +17,18 @@
 use crate::agent::AgentSettings;
 use crate::entry::EntrySettings;
 use crate::sections::Daemon;
-use crate::sections::Fault;
+use crate::sections::FieldError;
 
-/// A file that cannot be used.
+/// Error in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// File.
+    /// Path of the file.
     pub file: String,
-    /// Line, from 1; 0 if the file cannot be read.
+    /// Line number, from 1; 0 if the file cannot be read.
     pub line: usize,
-    /// Path of the field, for example `limits.head_ms`; empty if it is no single field.
+    /// Path of the field, for example `limits.head_ms`; empty if the error is not about one field.
     pub field: String,
-    /// What to do.
+    /// How to correct the file, or the message of the parser or the file system.
     pub fix: String,
 }
 
@@ -47,77 +47,77 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Settings of either daemon.
+/// Settings of one of the daemons.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Loaded {
-    /// Of an entry.
+    /// Settings of an entry.
     Entry(Box<EntrySettings>),
-    /// Of an agent.
+    /// Settings of an agent.
     Agent(Box<AgentSettings>),
 }
 
-/// Loads settings of either daemon.
+/// Loads the settings of an entry or an agent, as the field `daemon` of the file says.
 ///
 /// # Errors
 ///
-/// The first fault in the file.
+/// Returns the first error in the file.
 pub fn load(path: &Path) -> Result<Loaded, SettingsError> {
     parse(&path.display().to_string(), &read(path)?)
 }
 
-/// Loads settings of an entry.
+/// Loads the settings of an entry.
 ///
 /// # Errors
 ///
-/// The first fault in the file.
+/// Returns the first error in the file.
 pub fn load_entry(path: &Path) -> Result<EntrySettings, SettingsError> {
     let file = path.display().to_string();
     parse_as(&file, &read(path)?, EntrySettings::validate)
 }
 
-/// Loads settings of an agent.
+/// Loads the settings of an agent.
 ///
 /// # Errors
 ///
-/// The first fault in the file.
+/// Returns the first error in the file.
 pub fn load_agent(path: &Path) -> Result<AgentSettings, SettingsError> {
     let file = path.display().to_string();
     parse_as(&file, &read(path)?, AgentSettings::validate)
 }
 
-/// Reads the file of a running entry again.
+/// Reloads the settings of a running entry.
 ///
 /// # Errors
 ///
-/// The first fault in the file, or the first field that needs a restart.
+/// Returns the first error in the file, or the first changed field that needs a restart.
 pub fn reload_entry(current: &EntrySettings, path: &Path) -> Result<EntrySettings, SettingsError> {
     let file = path.display().to_string();
     parse_as(&file, &read(path)?, |new: &EntrySettings| {
         new.validate()?;
-        current.reloaded(new).map(drop)
+        current.reload(new).map(drop)
     })
 }
 
-/// Reads the file of a running agent again.
+/// Reloads the settings of a running agent.
 ///
 /// # Errors
 ///
-/// The first fault in the file, or the first field that needs a restart.
+/// Returns the first error in the file, or the first changed field that needs a restart.
 pub fn reload_agent(current: &AgentSettings, path: &Path) -> Result<AgentSettings, SettingsError> {
     let file = path.display().to_string();
     parse_as(&file, &read(path)?, |new: &AgentSettings| {
         new.validate()?;
-        current.reloaded(new).map(drop)
+        current.reload(new).map(drop)
     })
 }
 
-/// Parses settings of either daemon; `file` appears in errors only.
+/// Parses the settings of an entry or an agent; `file` is used in errors only.
 ///
 /// # Errors
 ///
-/// The first fault in the text.
+/// Returns the first error in the text.
 pub fn parse(file: &str, text: &str) -> Result<Loaded, SettingsError> {
-    match daemon(file, text)? {
+    match parse_daemon(file, text)? {
         Daemon::Entry => parse_as(file, text, EntrySettings::validate)
             .map(|settings| Loaded::Entry(Box::new(settings))),
         Daemon::Agent => parse_as(file, text, AgentSettings::validate)
@@ -134,20 +134,22 @@
     })
 }
 
-fn daemon(file: &str, text: &str) -> Result<Daemon, SettingsError> {
-    let tree = tree(file, text)?;
-    let named = match &tree {
-        Value::Object(object) => object.get_string("daemon").map(|name| name.value.as_ref()),
+fn parse_daemon(file: &str, text: &str) -> Result<Daemon, SettingsError> {
+    let tree = parse_tree(file, text)?;
+    let daemon = match &tree {
+        Value::Object(object) => object
+            .get_string("daemon")
+            .map(|value| value.value.as_ref()),
         _ => None,
     };
-    match named {
+    match daemon {
         Some("entry") => Ok(Daemon::Entry),
         Some("agent") => Ok(Daemon::Agent),
         _ => Err(SettingsError {
             file: file.to_owned(),
-            line: line_of(text, find(&tree, "daemon").unwrap_or(0)),
+            line: line_at(text, find_position(&tree, "daemon").unwrap_or(0)),
             field: "daemon".to_owned(),
-            fix: "state \"entry\" or \"agent\"".to_owned(),
+            fix: "use \"entry\" or \"agent\"".to_owned(),
         }),
     }
 }
@@ -155,22 +157,22 @@
 fn parse_as<T: DeserializeOwned>(
     file: &str,
     text: &str,
-    validate: impl FnOnce(&T) -> Result<(), Fault>,
+    validate: impl FnOnce(&T) -> Result<(), FieldError>,
 ) -> Result<T, SettingsError> {
-    let tree = tree(file, text)?;
-    let settings: T = parse_to_serde_value(text, &options())
+    let tree = parse_tree(file, text)?;
+    let settings: T = parse_to_serde_value(text, &parse_options())
         .map_err(|error| decode_error(file, text, &tree, &error))?;
-    validate(&settings).map_err(|fault| SettingsError {
+    validate(&settings).map_err(|error| SettingsError {
         file: file.to_owned(),
-        line: line_of(text, find(&tree, &fault.field).unwrap_or(0)),
-        field: fault.field,
-        fix: fault.fix,
+        line: line_at(text, find_position(&tree, &error.field).unwrap_or(0)),
+        field: error.field,
+        fix: error.fix,
     })?;
     Ok(settings)
 }
 
-/// JSON with comments and trailing commas, and no further extension.
-fn options() -> ParseOptions {
+/// Accepts comments and trailing commas, and no other extension of JSON.
+fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
@@ -185,14 +187,14 @@
     }
 }
 
-fn tree<'a>(file: &str, text: &'a str) -> Result<Value<'a>, SettingsError> {
+fn parse_tree<'a>(file: &str, text: &'a str) -> Result<Value<'a>, SettingsError> {
     let syntax_error = |line, fix: String| SettingsError {
         file: file.to_owned(),
         line,
         field: String::new(),
         fix,
     };
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &options())
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &parse_options())
         .map_err(|error| syntax_error(error.line_display(), error.kind().to_string()))?;
     parsed
         .value
@@ -200,21 +202,21 @@
 }
 
 fn decode_error(file: &str, text: &str, tree: &Value<'_>, error: &ParseError) -> SettingsError {
-    let at = error.range().start;
-    let mut field = path_at(tree, at);
+    let position = error.range().start;
+    let mut field = path_at(tree, position);
     let mut line = error.line_display();
     let fix = match error.kind() {
         ParseErrorKind::Custom(message) => message.clone(),
         other => other.to_string(),
     };
-    // Serde reports unknown, missing and duplicate fields at the object that holds them.
-    if let Some(name) = quoted_field(&fix) {
+    // Serde reports unknown, missing and duplicate fields at the position of their object.
+    if let Some(name) = field_in_message(&fix) {
         if !field.is_empty() {
             field.push('.');
         }
         field.push_str(name);
-        if let Some(start) = find(tree, &field) {
-            line = line_of(text, start);
+        if let Some(start) = find_position(tree, &field) {
+            line = line_at(text, start);
         }
     }
     SettingsError {
@@ -225,7 +227,8 @@
     }
 }
 
-fn quoted_field(message: &str) -> Option<&str> {
+/// Name of the field in an error message of Serde about an unknown, missing or duplicate field.
+fn field_in_message(message: &str) -> Option<&str> {
     ["unknown field `", "missing field `", "duplicate field `"]
         .iter()
         .find_map(|prefix| message.strip_prefix(prefix))?
@@ -233,16 +236,16 @@
         .next()
 }
 
-/// Path of the innermost property whose value contains a position.
-fn path_at(value: &Value<'_>, at: usize) -> String {
+/// Path of the innermost property or array element whose value contains a position.
+fn path_at(value: &Value<'_>, position: usize) -> String {
     let mut path = String::new();
-    let mut inner = Some(value);
-    while let Some(current) = inner {
-        inner = match current {
+    let mut next = Some(value);
+    while let Some(current) = next {
+        next = match current {
             Value::Object(object) => object
                 .properties
                 .iter()
-                .find(|property| contains(&property.value, at))
+                .find(|property| contains(&property.value, position))
                 .map(|property| {
                     if !path.is_empty() {
                         path.push('.');
@@ -254,7 +257,7 @@
                 .elements
                 .iter()
                 .enumerate()
-                .find(|(_, element)| contains(element, at))
+                .find(|(_, element)| contains(element, position))
                 .map(|(index, element)| {
                     let _ = write!(path, "[{index}]");
                     element
@@ -265,15 +268,15 @@
     path
 }
 
-fn contains(value: &Value<'_>, at: usize) -> bool {
+fn contains(value: &Value<'_>, position: usize) -> bool {
     let range = value.range();
-    range.start <= at && at < range.end
+    range.start <= position && position < range.end
 }
 
-/// Position of the last property of a path that exists.
-fn find(value: &Value<'_>, path: &str) -> Option<usize> {
+/// Position of the innermost property or array element on a path that exists.
+fn find_position(value: &Value<'_>, path: &str) -> Option<usize> {
     let mut current = value;
-    let mut found = None;
+    let mut position = None;
     for name in path.split('.') {
         let (name, index) = match name.split_once('[') {
             Some((name, rest)) => (name, rest.trim_end_matches(']').parse::<usize>().ok()),
@@ -285,19 +288,20 @@
         let Some(property) = object.get(name) else {
             break;
         };
-        found = Some(property.range().start);
+        position = Some(property.range().start);
         current = &property.value;
         if let (Value::Array(array), Some(index)) = (current, index) {
             let Some(element) = array.elements.get(index) else {
                 break;
             };
-            found = Some(element.range().start);
+            position = Some(element.range().start);
             current = element;
         }
     }
-    found
+    position
 }
 
-fn line_of(text: &str, position: usize) -> usize {
+/// Line number, from 1, of a byte position.
+fn line_at(text: &str, position: usize) -> usize {
     1 + text[..position].matches('\n').count()
 }
--- a/components/settings/src/peer.rs
+++ b/components/settings/src/peer.rs
@@ -1,4 +1,4 @@
-//! Other entries in the settings of an entry.
+//! List of the other entries in the settings of an entry.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,15 +10,15 @@
 use serde::de::Visitor;
 use serde::de::value::MapAccessDeserializer;
 
-use crate::sections::Fault;
-use crate::sections::first_fault;
+use crate::sections::FieldError;
+use crate::sections::first_failed_check;
 
-/// An entry as the others see it, from `"ADDRESS"` or `{"name": "NAME", "address": "ADDRESS"}`.
+/// Entry in the list of peers, written as `"ADDRESS"` or `{"name": "NAME", "address": "ADDRESS"}`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Address for other entries and agents.
+    /// Address on which the entry listens for other entries and agents.
     pub address: SocketAddr,
-    /// Name, for operators to read.
+    /// Name that is shown to operators.
     pub name: Option<String>,
 }
 
@@ -29,11 +29,11 @@
     name: String,
 }
 
-/// An untagged enum would report neither the field nor the line of a fault.
+/// Written by hand, because errors of an untagged enum state neither the field nor the line.
 impl<'de> Deserialize<'de> for Peer {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct AddressOrObject;
-        impl<'de> Visitor<'de> for AddressOrObject {
+        struct PeerVisitor;
+        impl<'de> Visitor<'de> for PeerVisitor {
             type Value = Peer;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -58,13 +58,13 @@
                 })
             }
         }
-        deserializer.deserialize_any(AddressOrObject)
+        deserializer.deserialize_any(PeerVisitor)
     }
 }
 
-/// Checks the names of all entries; `own` is the name and the address of this one.
-pub(crate) fn validate_peers(peers: &[Peer], own: (&str, SocketAddr)) -> Result<(), Fault> {
-    let is_unique = |index: usize| {
+/// Checks the names in the list of peers; `own` is the name and the address of this entry.
+pub(crate) fn validate_peers(peers: &[Peer], own: (&str, SocketAddr)) -> Result<(), FieldError> {
+    let has_unique_name = |index: usize| {
         peers[..index].iter().all(|earlier| {
             earlier.name.is_none()
                 || earlier.name != peers[index].name
@@ -72,29 +72,33 @@
         })
     };
     let is_own = |peer: &&Peer| peer.address == own.1;
-    let named = |peer: &Peer, name: &str| peer.name.as_deref().is_none_or(|given| given == name);
-    first_fault(&[
+    let is_unnamed_or =
+        |peer: &Peer, name: &str| peer.name.as_deref().is_none_or(|given| given == name);
+    first_failed_check(&[
         (
             peers.iter().all(|peer| peer.name.as_deref() != Some("")),
             "peers",
-            "name the entry, or state its address only",
+            "names must not be empty; use a name, or only the address",
         ),
         (
-            (0..peers.len()).all(is_unique),
+            (0..peers.len()).all(has_unique_name),
             "peers",
-            "give every entry a name of its own",
+            "give each entry a different name",
         ),
         (
-            peers.iter().filter(is_own).all(|peer| named(peer, own.0)),
+            peers
+                .iter()
+                .filter(is_own)
+                .all(|peer| is_unnamed_or(peer, own.0)),
             "peers",
-            "use `name` of these settings for the own address",
+            "for the address of this entry, use the same name as in the field `name`",
         ),
         (
             !peers
                 .iter()
                 .any(|peer| !is_own(&peer) && peer.name.as_deref() == Some(own.0)),
             "peers",
-            "another entry has the name of this one; correct its name or address",
+            "another address has the name of this entry; correct the name or the address",
         ),
     ])
 }
--- a/components/settings/src/section.rs
+++ b/components/settings/src/section.rs
@@ -1,6 +1,6 @@
-//! Declaration of a section with the default beside each field.
+//! Macro that declares a settings section together with the defaults of its fields.
 
-/// Declares a section whose fields may all be left out.
+/// Declares a section of the settings in which every field is optional.
 macro_rules! section {
     (
         $(#[$meta:meta])*
--- a/components/settings/src/sections.rs
+++ b/components/settings/src/sections.rs
@@ -1,4 +1,4 @@
-//! Sections that entries and agents share.
+//! Sections that the settings of entries and agents have in common.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,24 +10,26 @@
 
 use crate::section::section;
 
-/// Keys that may be valid at once: the one that signs and the one being phased in or out.
-const KEY_LIMIT: usize = 2;
-/// Shortest token of an operator. 32 characters of base64 or hex hold at least 128 bits.
-const TOKEN_BYTES: usize = 32;
+/// Keys that may be valid at the same time: the one that signs, and during a rotation the next or
+/// the previous one.
+const MAX_KEYS: usize = 2;
+/// Minimum length of an operator's token. 32 characters of base64 or hex hold at least 128 bits.
+const MIN_TOKEN_BYTES: usize = 32;
 
-/// A value that cannot work.
+/// Invalid value of a field.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct FieldError {
     /// Path of the field, for example `limits.head_ms`.
     pub field: String,
-    /// What to do.
+    /// How to correct the value.
     pub fix: String,
 }
 
-/// Returns the first check that does not hold.
-pub(crate) fn first_fault(checks: &[(bool, &str, &str)]) -> Result<(), Fault> {
+/// Returns the error of the first failed check. A check consists of whether it holds, the field
+/// and how to correct its value.
+pub(crate) fn first_failed_check(checks: &[(bool, &str, &str)]) -> Result<(), FieldError> {
     match checks.iter().find(|(holds, ..)| !holds) {
-        Some((_, field, fix)) => Err(Fault {
+        Some((_, field, fix)) => Err(FieldError {
             field: (*field).to_owned(),
             fix: (*fix).to_owned(),
         }),
@@ -35,17 +37,17 @@
     }
 }
 
-/// Daemon that a file is for.
+/// Daemon to which a settings file belongs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Daemon {
-    /// Daemon on an entry host.
+    /// `chervilspool entry`, which accepts requests of callers.
     Entry,
-    /// Daemon beside a target.
+    /// `chervilspool agent`, which runs beside a target.
     Agent,
 }
 
-/// Addresses of the platform's services.
+/// Addresses of the services of the platform.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformAddresses {
@@ -55,21 +57,21 @@
     pub objects: SocketAddr,
     /// Weight store.
     pub weights: SocketAddr,
-    /// List of live and leaving hosts.
+    /// Service that lists the live and the leaving hosts.
     pub hosts: SocketAddr,
 }
 
-/// A shared key for frames and datagrams between the daemons.
+/// Shared key that authenticates frames and datagrams between the daemons.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
-    /// Number that goes on the wire.
+    /// Identifier of the key on the wire.
     pub id: u8,
-    /// 32 bytes as 64 hex digits.
+    /// Key material, 32 bytes that are written as 64 hex digits.
     pub secret: Secret,
 }
 
-/// Secret bytes that never appear in logs.
+/// Key material that its `Debug` output omits, so that it does not appear in logs.
 #[derive(Clone, PartialEq)]
 pub struct Secret(pub [u8; 32]);
 
@@ -79,11 +81,11 @@
     }
 }
 
-/// Decodes inside of the visitor, because the parser knows the line of a fault only there.
+/// Decodes the digits in the visitor, because the parser adds the line only to errors from there.
 impl<'de> Deserialize<'de> for Secret {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct HexDigits;
-        impl Visitor<'_> for HexDigits {
+        struct SecretVisitor;
+        impl Visitor<'_> for SecretVisitor {
             type Value = Secret;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -96,7 +98,7 @@
                 })
             }
         }
-        deserializer.deserialize_str(HexDigits)
+        deserializer.deserialize_str(SecretVisitor)
     }
 }
 
@@ -111,7 +113,7 @@
     Some(bytes)
 }
 
-/// A bearer token that never appears in logs.
+/// Bearer token that its `Debug` output omits, so that it does not appear in logs.
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(transparent)]
 pub struct Token(pub String);
@@ -122,47 +124,48 @@
     }
 }
 
-/// An operator who may use the operators' port.
+/// Operator that may use the operators' port.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Name that goes into the audit trail.
+    /// Name of the operator in the audit trail.
     pub name: String,
-    /// Bearer token.
+    /// Bearer token that authenticates the operator.
     pub token: Token,
 }
 
-/// How a caller is told from others. The name is part of the key of a claim, so it must be the
-/// same when a request is resent through another entry or another address of the load balancer.
+/// How a caller is identified. The identity is part of the key of an idempotency claim, so it must
+/// be the same when a request is resent through another entry or another address of the load
+/// balancer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallerIdentity {
-    /// Hash of the `Authorization` field; callers without one share a name.
+    /// Hash of the `Authorization` header; callers without one share an identity.
     #[default]
     Authorization,
-    /// Value of a field that the load balancer sets, and removes from what callers send.
+    /// Value of a header that the load balancer sets and removes from callers' requests.
     Header(String),
-    /// Address of the peer; only where callers connect directly.
+    /// IP address of the connection; valid only if callers connect without a load balancer.
     Address,
 }
 
 section! {
-    /// Logs.
+    /// Log output of a daemon.
     Log {
-        /// How records are written.
+        /// Format of the records.
         format: LogFormat = LogFormat::Json,
-        /// Least severe records that are written.
+        /// Lowest severity that is written.
         level: LogLevel = LogLevel::Info,
     }
 }
 
-/// How log records are written to standard error.
+/// Format of the log records on standard error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// For people.
+    /// Text for reading in a terminal.
     Text,
 }
 
@@ -170,23 +173,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Requests and answers that failed for good.
+    /// Requests and responses that failed permanently.
     Error,
-    /// Faults that are handled.
+    /// Failures from which the daemon recovers.
     Warning,
-    /// Changes of state.
+    /// State changes.
     Info,
     /// Every request.
     Debug,
 }
 
-pub(crate) fn validate_keys(keys: &[KeySettings]) -> Result<(), Fault> {
-    first_fault(&[
-        (!keys.is_empty(), "keys", "state at least one key"),
+pub(crate) fn validate_keys(keys: &[KeySettings]) -> Result<(), FieldError> {
+    first_failed_check(&[
+        (!keys.is_empty(), "keys", "add at least one key"),
         (
-            keys.len() <= KEY_LIMIT,
+            keys.len() <= MAX_KEYS,
             "keys",
-            "state at most two keys, the one that signs first",
+            "use at most two keys; the first one signs",
         ),
         (
             keys.len() < 2 || keys[0].id != keys[1].id,
@@ -196,68 +199,73 @@
         (
             keys.iter().all(|key| key.secret.0 != [0; 32]),
             "keys",
-            "replace the secret of zeros by 64 random hex digits",
+            "replace the all-zero secret with 64 random hex digits",
         ),
     ])
 }
 
-/// Checks that every daemon that has the old keys or the new ones accepts what the others sign:
-/// a reload reaches the daemons one after the other.
-pub(crate) fn rotate_keys(old: &[KeySettings], new: &[KeySettings]) -> Result<(), Fault> {
-    let (Some(signed), Some(signs)) = (old.first(), new.first()) else {
+/// Checks that daemons with the old keys and daemons with the new keys accept each other's
+/// signatures, because daemons are reloaded one after the other.
+pub(crate) fn validate_key_rotation(
+    old: &[KeySettings],
+    new: &[KeySettings],
+) -> Result<(), FieldError> {
+    let (Some(old_signing_key), Some(new_signing_key)) = (old.first(), new.first()) else {
         return validate_keys(new);
     };
     let keeps_secret = |key: &KeySettings| {
-        let held = old.iter().find(|held| held.id == key.id);
-        held.is_none_or(|held| held.secret == key.secret)
+        let old_key = old.iter().find(|old_key| old_key.id == key.id);
+        old_key.is_none_or(|old_key| old_key.secret == key.secret)
     };
-    first_fault(&[
+    first_failed_check(&[
         (
             new.iter().all(keeps_secret),
             "keys",
-            "give the new secret an id that is not in use",
+            "use a new id for the new secret",
         ),
         (
-            old.iter().any(|key| key.id == signs.id),
+            old.iter().any(|key| key.id == new_signing_key.id),
             "keys",
-            "put the new key second and reload every daemon before it is put first",
+            "add the new key second and reload every daemon before moving it to the front",
         ),
         (
-            new.iter().any(|key| key.id == signed.id),
+            new.iter().any(|key| key.id == old_signing_key.id),
             "keys",
-            "keep the key that was first as the second one, and remove it by a later reload",
+            "keep the previous signing key as the second one and remove it in a later reload",
         ),
     ])
 }
 
-pub(crate) fn validate_operators(operators: &[OperatorSettings]) -> Result<(), Fault> {
-    let unique = |index: usize| {
+pub(crate) fn validate_operators(operators: &[OperatorSettings]) -> Result<(), FieldError> {
+    let has_unique_token = |index: usize| {
         operators[..index]
             .iter()
             .all(|earlier| earlier.token != operators[index].token)
     };
-    first_fault(&[
+    first_failed_check(&[
         (
-            operators.iter().all(|o| !o.name.is_empty()),
+            operators.iter().all(|operator| !operator.name.is_empty()),
             "operators",
-            "give every operator a name",
+            "give each operator a name",
         ),
         (
-            operators.iter().all(|o| o.token.0.len() >= TOKEN_BYTES),
+            operators
+                .iter()
+                .all(|operator| operator.token.0.len() >= MIN_TOKEN_BYTES),
             "operators",
             "use tokens of at least 32 characters",
         ),
         (
             operators
                 .iter()
-                .all(|o| o.token.0.bytes().all(|b| b.is_ascii_graphic())),
+                .all(|operator| operator.token.0.bytes().all(|b| b.is_ascii_graphic())),
             "operators",
             "use printable ASCII without spaces in tokens",
         ),
         (
-            (0..operators.len()).all(unique),
+            (0..operators.len()).all(has_unique_token),
             "operators",
-            "give every operator a token of their own",
+            "give each operator a different token",
         ),
     ])
 }
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Loading of settings, with the examples as valid files.
+//! Loading and reloading of settings; the examples serve as valid files.
 
 use std::path::Path;
 use std::time::Duration;
@@ -19,7 +19,7 @@
         .join(name)
 }
 
-/// Error after one replacement in the text.
+/// Error of parsing the text after one replacement in it.
 fn error_after(text: &str, from: &str, to: &str) -> SettingsError {
     assert!(text.contains(from), "the example has no {from}");
     parse("f.jsonc", &text.replacen(from, to, 1)).unwrap_err()
@@ -29,7 +29,7 @@
     1 + text.lines().position(|line| line.contains(part)).unwrap()
 }
 
-// Guards against examples that no longer start a daemon.
+// Guards against examples with which a daemon does not start.
 #[test]
 fn loads_every_example() {
     let entry = load_entry(&example("el-bolson-entry.jsonc")).unwrap();
@@ -41,9 +41,9 @@
     assert_eq!(agent.order_poll_ms, Duration::from_secs(2));
 }
 
-// Guards against misspelt fields that are silently ignored.
+// Guards against misspelt fields that are ignored without an error.
 #[test]
-fn names_line_and_field_of_unknown_fields() {
+fn error_states_line_and_path_of_an_unknown_field() {
     let error = error_after(ENTRY, "\"requests\": 2048", "\"requets\": 2048");
     assert_eq!(error.field, "limits.requets");
     assert_eq!(error.line, line_with(ENTRY, "\"requests\": 2048"));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn names_line_and_field_of_bad_values() {
+fn error_states_line_and_path_of_an_invalid_value() {
     let cases = [
         (
             ENTRY,
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn names_missing_fields_and_syntax_errors() {
+fn error_states_missing_field_or_line_of_a_syntax_error() {
     let error = error_after(AGENT, "\"service\": \"modelos-bitacora\",", "");
     assert_eq!(error.field, "target.service");
     let error = error_after(
@@ -141,9 +141,9 @@
     assert_eq!(error.line, line_with(AGENT, "\"place\""));
 }
 
-// Guards against a daemon that starts with the file of the other one.
+// Guards against a daemon that starts with the settings of the other daemon.
 #[test]
-fn refuses_the_file_of_the_other_daemon() {
+fn rejects_settings_of_the_other_daemon() {
     assert_eq!(
         load_entry(&example("el-bolson-agent.jsonc"))
             .unwrap_err()
@@ -153,16 +153,16 @@
     assert!(load_agent(&example("el-bolson-entry.jsonc")).is_err());
 }
 
-// Guards against secrets in logs.
+// Guards against keys and tokens in logs.
 #[test]
-fn does_not_print_secrets() {
+fn debug_output_omits_keys_and_tokens() {
     let printed = format!("{:?}", parse("f", ENTRY).unwrap());
     assert!(!printed.contains("8f0c") && !printed.contains("example-token"));
 }
 
-// Guards against a reload that would leave a listener on an old address.
+// Guards against a reload that accepts a new address while the listener stays on the old one.
 #[test]
-fn reloads_keys_and_limits_but_no_addresses() {
+fn reload_of_an_entry_accepts_keys_and_limits_but_no_addresses() {
     let Loaded::Entry(old) = parse("f", ENTRY).unwrap() else {
         panic!("not an entry");
     };
@@ -172,43 +172,43 @@
     let Loaded::Entry(new) = parse("f", &new).unwrap() else {
         panic!("not an entry");
     };
-    let reloaded = old.reloaded(&new).unwrap();
+    let reloaded = old.reload(&new).unwrap();
     assert_eq!(reloaded.limits.requests, 100);
     assert_eq!(reloaded.keys[1].id, 3);
     let mut moved = *new;
     moved.addresses.callers.set_port(1);
-    assert_eq!(old.reloaded(&moved).unwrap_err().field, "addresses");
+    assert_eq!(old.reload(&moved).unwrap_err().field, "addresses");
 }
 
-// Guards against a reload that ignores a changed field, and against a step of a rotation after
-// which daemons that were not reloaded yet would be refused.
+// Guards against a reload that ignores a changed field, and against a step of a key rotation after
+// which daemons that have not been reloaded yet are refused.
 #[test]
-fn refuses_what_an_agent_cannot_change_while_it_runs() {
+fn reload_of_an_agent_rejects_fields_that_need_a_restart_and_invalid_rotation_steps() {
     let Loaded::Agent(old) = parse("f", AGENT).unwrap() else {
         panic!("not an agent");
     };
-    let field_after = |change: fn(&mut settings::AgentSettings)| {
+    let rejected_field = |change: fn(&mut settings::AgentSettings)| {
         let mut new = old.clone();
         change(&mut new);
-        old.reloaded(&new).err().map(|fault| fault.field)
+        old.reload(&new).err().map(|error| error.field)
     };
-    assert_eq!(field_after(|new| new.concurrency = 7), None);
-    assert_eq!(field_after(|new| new.keys.truncate(1)), None);
-    assert_eq!(field_after(|new| new.keys.swap(0, 1)), None);
-    let refused = Some("keys".to_owned());
-    let without_first = field_after(|new| {
+    assert_eq!(rejected_field(|new| new.concurrency = 7), None);
+    assert_eq!(rejected_field(|new| new.keys.truncate(1)), None);
+    assert_eq!(rejected_field(|new| new.keys.swap(0, 1)), None);
+    let rejected = Some("keys".to_owned());
+    let without_first = rejected_field(|new| {
         new.keys.remove(0);
     });
-    assert_eq!(without_first, refused);
-    assert_eq!(field_after(|new| new.keys[0].id = 3), refused);
-    assert_eq!(field_after(|new| new.keys[1].secret.0[0] ^= 1), refused);
-    let moved = field_after(|new| new.advertise = Some(new.target.address));
+    assert_eq!(without_first, rejected);
+    assert_eq!(rejected_field(|new| new.keys[0].id = 3), rejected);
+    assert_eq!(rejected_field(|new| new.keys[1].secret.0[0] ^= 1), rejected);
+    let moved = rejected_field(|new| new.advertise = Some(new.target.address));
     assert_eq!(moved.as_deref(), Some("advertise"));
 }
 
-// Guards against a nested file that overflows the stack.
+// Guards against deeply nested files that overflow the stack of the parser.
 #[test]
-fn deeply_nested_files_give_typed_errors() {
+fn deeply_nested_files_return_errors_with_a_message() {
     for open in ["[", "{\"limits\":"] {
         let error = parse("f", &open.repeat(100_000)).unwrap_err();
         assert!(!error.fix.is_empty(), "nested {open}");
@@ -216,16 +216,16 @@
 }
 
 quickcheck! {
-    fn random_files_give_typed_errors(bytes: Vec<u8>) -> bool {
+    fn random_files_return_errors_with_a_message(bytes: Vec<u8>) -> bool {
         parse("f", &String::from_utf8_lossy(&bytes))
             .map_or_else(|error| !error.fix.is_empty(), |_| true)
     }
 
-    fn mutated_files_give_typed_errors(changes: Vec<(usize, u8)>) -> bool {
+    fn mutated_files_return_errors_with_a_message(changes: Vec<(usize, u8)>) -> bool {
         let mut bytes = ENTRY.as_bytes().to_vec();
-        for (at, byte) in changes {
-            let at = at % bytes.len();
-            bytes[at] = byte;
+        for (position, byte) in changes {
+            let position = position % bytes.len();
+            bytes[position] = byte;
         }
         match parse("f", &String::from_utf8_lossy(&bytes)) {
             Ok(_) => true,
