--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! Definition of the command line.
+//! Definition of the command line. The doc comments are the texts of `--help`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,27 +11,27 @@
     options,
     version,
     footer(
-        "Exit codes: 0 done, 1 failed, 2 wrong usage, 3 conflict with another change or with what \
-         is in use, 4 not found, 5 the entry or the table is not available."
+        "Exit codes: 0 success, 1 failure, 2 usage error, 3 conflict with another change or with \
+         an item in use, 4 not found, 5 entry or table unavailable."
     )
 )]
 pub enum Cli {
-    /// Run the daemon of an entry host
+    /// Run an entry, the daemon that routes requests of callers to targets
     #[bpaf(
         command,
         footer("Example: chervilspool entry --settings /etc/chervilspool/entry.jsonc")
     )]
     Entry(#[bpaf(external(settings_file))] PathBuf),
-    /// Run the daemon beside a target
+    /// Run an agent, the daemon beside a target
     #[bpaf(
         command,
         footer("Example: chervilspool agent --settings /etc/chervilspool/agent.jsonc")
     )]
     Agent(#[bpaf(external(settings_file))] PathBuf),
-    /// Run the daemon of a front host on the users' platform
+    /// Run a gateway, the daemon of a front host on the users' platform
     #[bpaf(command, footer("Example: chervilspool gateway --settings local.toml"))]
-    Gateway(#[bpaf(external(boot_file))] PathBuf),
-    /// Check the settings of a daemon without starting it; files in TOML are the platform's
+    Gateway(#[bpaf(external(gateway_settings_file))] PathBuf),
+    /// Check the settings of a daemon without starting it; TOML files are settings of a gateway
     #[bpaf(
         command,
         footer("Example: chervilspool check --settings examples/settings/kitagawa-entry.jsonc")
@@ -45,7 +45,7 @@
         )
     )]
     Profile(#[bpaf(external(profile_command))] ProfileCommand),
-    /// Choose the profiles that services run under
+    /// Create services, assign profiles to them and list them
     #[bpaf(
         command,
         footer(
@@ -53,7 +53,7 @@
         )
     )]
     Service(#[bpaf(external(service_command))] ServiceCommand),
-    /// Give orders to engines
+    /// List engines and send orders to them
     #[bpaf(
         command,
         footer("Example: chervilspool engine drain bitacora-03 --reason 'disk replaced'")
@@ -62,7 +62,7 @@
     /// Show targets, entries and the revisions in force
     #[bpaf(command, footer("Example: chervilspool status --json"))]
     Status(#[bpaf(external(entry_options))] EntryOptions),
-    /// Explain what happened to a request, or why an engine gets the work it gets
+    /// Explain what happened to a request, or why an engine gets the requests that it gets
     #[bpaf(
         command,
         footer("Example: chervilspool explain --log gateways.log 4dbe4390105c05c3")
@@ -70,14 +70,15 @@
     Explain {
         #[bpaf(external(entry_options), optional)]
         entry: Option<EntryOptions>,
-        /// Read the logs of gateways instead of asking an entry; `-` is standard input
+        /// Read log files of gateways instead of querying an entry; `-` is standard input; may be
+        /// repeated
         #[bpaf(long, argument("FILE"))]
         log: Vec<PathBuf>,
-        /// Request id (`x-request-id` of the answer) or name of an engine
+        /// Request id (`x-request-id` header of the response) or name of an engine
         #[bpaf(positional("REQUEST|ENGINE"))]
         subject: String,
     },
-    /// Show changes, newest first
+    /// Show the audit trail of changes, newest first
     #[bpaf(
         command,
         footer("Example: chervilspool audit --limit 20 --before 1200")
@@ -85,7 +86,7 @@
     Audit {
         #[bpaf(external(entry_options))]
         entry: EntryOptions,
-        /// Show only revisions below this one
+        /// Show only changes with a lower revision
         #[bpaf(argument("REVISION"))]
         before: Option<u64>,
         /// Show at most this many changes
@@ -96,54 +97,54 @@
 
 fn settings_file() -> impl bpaf::Parser<PathBuf> {
     bpaf::long("settings")
-        .help("File in JSON with comments")
+        .help("Settings file, in JSON with comments")
         .argument("FILE")
 }
 
-fn boot_file() -> impl bpaf::Parser<PathBuf> {
+fn gateway_settings_file() -> impl bpaf::Parser<PathBuf> {
     bpaf::long("settings")
         .env(platform::BOOT_VARIABLE)
-        .help("The platform's settings file, in TOML")
+        .help("Settings file of the users' platform, in TOML")
         .argument("FILE")
 }
 
-/// How an entry is reached.
+/// Connection to an entry.
 #[derive(Debug, Clone, Bpaf)]
 pub struct EntryOptions {
-    /// Operators' address of an entry
+    /// Address of the entry's operators' port
     #[bpaf(long, env("CHERVILSPOOL_ENTRY"), argument("ADDR"))]
     pub entry: SocketAddr,
-    /// File that holds the operator's token
+    /// File with the operator's token
     #[bpaf(long, env("CHERVILSPOOL_TOKEN_FILE"), argument("FILE"))]
     pub token_file: PathBuf,
-    /// Print JSON
+    /// Print the output as JSON
     #[bpaf(long)]
     pub json: bool,
 }
 
-/// Conditions of a change.
+/// Options of a change.
 #[derive(Debug, Clone, Bpaf)]
 pub struct ChangeOptions {
     #[bpaf(external)]
     pub entry_options: EntryOptions,
-    /// Fail if the item has another revision than this one
+    /// Fail if the item is not at this revision
     #[bpaf(long, argument("REVISION"))]
     pub if_revision: Option<u64>,
-    /// Check everything and change nothing
+    /// Validate the change without making it
     #[bpaf(long)]
     pub dry_run: bool,
-    /// Why, for the audit trail
+    /// Reason of the change, for the audit trail
     #[bpaf(long, argument("TEXT"), fallback(String::new()))]
     pub reason: String,
 }
 
-/// Values of a profile.
+/// Fields of a profile.
 #[derive(Debug, Clone, Bpaf)]
 pub struct ProfileValues {
     /// File with the fields of the profile, in JSON with comments
     #[bpaf(long, argument("FILE"))]
     pub file: Option<PathBuf>,
-    /// Value of one field; may be repeated
+    /// Value of one field, which takes precedence over the file; may be repeated
     #[bpaf(long, argument("FIELD=VALUE"))]
     pub set: Vec<String>,
 }
@@ -151,7 +152,7 @@
 /// Commands about profiles.
 #[derive(Debug, Clone, Bpaf)]
 pub enum ProfileCommand {
-    /// Create a profile; fields that are not given have their defaults
+    /// Create a profile; fields that are not given have default values
     #[bpaf(
         command,
         footer(
@@ -167,7 +168,7 @@
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Change fields of a profile; the others stay as they are
+    /// Change fields of a profile; the others keep their values
     #[bpaf(
         command,
         footer(
@@ -195,7 +196,7 @@
     /// List profiles
     #[bpaf(command, footer("Example: chervilspool profile list"))]
     List(#[bpaf(external(entry_options))] EntryOptions),
-    /// Show a profile, its revision, and the entries that do not have it in force yet
+    /// Show a profile, its revision, and the entries where this revision is not in force yet
     #[bpaf(command, footer("Example: chervilspool profile show radio-desk"))]
     Show {
         #[bpaf(external(entry_options))]
@@ -209,7 +210,7 @@
 /// Commands about services.
 #[derive(Debug, Clone, Bpaf)]
 pub enum ServiceCommand {
-    /// Create a service, or let it pick another profile
+    /// Create a service, or assign another profile to it
     #[bpaf(
         command,
         footer(
@@ -219,10 +220,10 @@
     Set {
         #[bpaf(external(change_options))]
         change: ChangeOptions,
-        /// `model` for engines or `plain`; needed for a new service
+        /// `model` for engines or `plain` for plain targets; required for a new service
         #[bpaf(long, argument("KIND"))]
         kind: Option<String>,
-        /// Profile that the service runs under
+        /// Profile for the requests of the service
         #[bpaf(long, argument("PROFILE"))]
         profile: String,
         /// Name of the service
@@ -240,7 +241,7 @@
     /// List engines and plain targets
     #[bpaf(command, footer("Example: chervilspool engine list"))]
     List(#[bpaf(external(entry_options))] EntryOptions),
-    /// Finish what runs and take nothing new
+    /// Let running requests finish and accept no new ones
     #[bpaf(
         command,
         footer("Example: chervilspool engine drain bitacora-03 --reason 'disk replaced'")
@@ -252,7 +253,7 @@
         #[bpaf(positional("ENGINE"))]
         name: String,
     },
-    /// Drain, then hand the slot to a new host
+    /// Drain, then let a new host replace this one
     #[bpaf(command, footer("Example: chervilspool engine replace bitacora-03"))]
     Replace {
         #[bpaf(external(change_options))]
@@ -261,7 +262,7 @@
         #[bpaf(positional("ENGINE"))]
         name: String,
     },
-    /// Drain, then leave the fleet for good
+    /// Drain, then remove the engine from the fleet permanently
     #[bpaf(command, footer("Example: chervilspool engine withdraw bitacora-03"))]
     Withdraw {
         #[bpaf(external(change_options))]
@@ -270,7 +271,7 @@
         #[bpaf(positional("ENGINE"))]
         name: String,
     },
-    /// Take work again after a drain
+    /// Accept requests again after a drain
     #[bpaf(command, footer("Example: chervilspool engine resume bitacora-03"))]
     Resume {
         #[bpaf(external(change_options))]
@@ -295,33 +296,33 @@
     },
 }
 
-/// What an engine is ordered to do.
+/// Content of the order.
 #[derive(Debug, Clone, Bpaf)]
 pub enum OrderContent {
-    /// Load a model and drop the one in force
+    /// Load a model in place of the loaded one
     LoadModel {
         /// Model to load
         #[bpaf(long, argument("MODEL"))]
         model: String,
-        /// Version of its weights
+        /// Version of the model's weights
         #[bpaf(long, argument("VERSION"))]
         model_version: String,
     },
     /// Load an adapter
     LoadAdapter {
-        /// Adapter to load beside those in force
+        /// Adapter to load in addition to the loaded ones
         #[bpaf(long, argument("ADAPTER"))]
         load_adapter: String,
     },
-    /// Remove an adapter
+    /// Unload an adapter
     UnloadAdapter {
-        /// Adapter to remove
+        /// Adapter to unload
         #[bpaf(long, argument("ADAPTER"))]
         unload_adapter: String,
     },
     /// Change the role
     ChangeRole {
-        /// `prefill`, `decode` or `mixed`
+        /// New role: `prefill`, `decode` or `mixed`
         #[bpaf(long, argument("ROLE"))]
         role: String,
     },
--- a/src/cmd/daemon.rs
+++ b/src/cmd/daemon.rs
@@ -1,4 +1,4 @@
-//! Daemons, and the check of their settings.
+//! Commands that run a daemon or check its settings.
 
 use std::path::Path;
 
@@ -15,26 +15,26 @@
     }
 }
 
-pub(super) fn entry(file: &Path) -> CommandResult {
+pub(super) fn run_entry(file: &Path) -> CommandResult {
     let settings = settings::load_entry(file)?;
-    ended(entry::run(settings, file))
+    command_result(entry::run(settings, file))
 }
 
-pub(super) fn agent(file: &Path) -> CommandResult {
+pub(super) fn run_agent(file: &Path) -> CommandResult {
     let settings = settings::load_agent(file)?;
-    ended(agent::run(settings, file))
+    command_result(agent::run(settings, file))
 }
 
-pub(super) fn gateway(file: &Path) -> CommandResult {
-    ended(platform::run_gateway(file))
+pub(super) fn run_gateway(file: &Path) -> CommandResult {
+    command_result(platform::run_gateway(file))
 }
 
-pub(super) fn check(file: &Path) -> CommandResult {
+pub(super) fn check_settings(file: &Path) -> CommandResult {
     if file
         .extension()
         .is_some_and(|extension| extension == "toml")
     {
-        return check_boot(file);
+        return check_gateway_settings(file);
     }
     let summary = match settings::load(file)? {
         Loaded::Entry(entry) => format!("entry `{}`", entry.name),
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-fn check_boot(file: &Path) -> CommandResult {
+fn check_gateway_settings(file: &Path) -> CommandResult {
     let boot = platform::Boot::load(file).map_err(|error| Failure::new(EXIT_FAILED, error))?;
     let settings = boot.gateway();
     let settings = settings.map_err(|error| Failure::new(EXIT_FAILED, error))?;
@@ -56,6 +56,6 @@
     Ok(())
 }
 
-fn ended(result: eyre::Result<()>) -> CommandResult {
+fn command_result(result: eyre::Result<()>) -> CommandResult {
     result.map_err(|report| Failure::new(EXIT_FAILED, format!("{report:#}")))
 }
--- a/src/cmd/engine.rs
+++ b/src/cmd/engine.rs
@@ -1,4 +1,4 @@
-//! `engine` commands.
+//! Commands about engines.
 
 use control::Command;
 use serde_json::Map;
@@ -20,7 +20,7 @@
     match command {
         EngineCommand::List(entry) => {
             let status = client(&entry)?.status().await?;
-            print(&entry, &targets(&status));
+            print(&entry, &targets_of_status(&status));
             Ok(())
         }
         EngineCommand::Drain { change, name } => order(&change, name, OrderKind::Drain).await,
@@ -31,12 +31,12 @@
             change,
             content,
             name,
-        } => order(&change, name, kind(content)?).await,
+        } => order(&change, name, order_kind(content)?).await,
     }
 }
 
-/// Targets of a status, which lists them by service.
-fn targets(status: &Value) -> Vec<Value> {
+/// Collects the targets of a status, which groups them by service.
+fn targets_of_status(status: &Value) -> Vec<Value> {
     let mut targets = Vec::new();
     for service in status["services"].as_array().into_iter().flatten() {
         for target in service["targets"].as_array().into_iter().flatten() {
@@ -54,7 +54,7 @@
     execute(&client, change, Command::OrderTarget { target, order }).await
 }
 
-fn kind(content: OrderContent) -> Result<OrderKind, Failure> {
+fn order_kind(content: OrderContent) -> Result<OrderKind, Failure> {
     Ok(match content {
         OrderContent::LoadModel {
             model,
@@ -70,19 +70,19 @@
             adapter: unload_adapter,
         },
         OrderContent::ChangeRole { role } => OrderKind::ChangeRole {
-            role: parse(&role)?,
+            role: parse_role(&role)?,
         },
     })
 }
 
-fn parse(role: &str) -> Result<Role, Failure> {
+fn parse_role(role: &str) -> Result<Role, Failure> {
     match role {
         "prefill" => Ok(Role::Prefill),
         "decode" => Ok(Role::Decode),
         "mixed" => Ok(Role::Mixed),
         _ => Err(Failure::new(
             EXIT_USAGE,
-            "--role: use `prefill`, `decode` or `mixed`",
+            "--role: invalid value; use `prefill`, `decode` or `mixed`",
         )),
     }
 }
--- a/src/cmd/inspect.rs
+++ b/src/cmd/inspect.rs
@@ -1,4 +1,4 @@
-//! `status`, `explain` and `audit`.
+//! Commands `status`, `explain` and `audit`.
 
 use std::fs::File;
 use std::io::Read;
@@ -28,28 +28,28 @@
     Ok(())
 }
 
-/// Prints what logs of gateways say of a request.
-pub(super) fn history(files: &[PathBuf], request: &str) -> CommandResult {
+/// Prints the history of a request from log files of gateways.
+pub(super) fn explain_from_logs(files: &[PathBuf], request: &str) -> CommandResult {
     if files.is_empty() {
-        let message = "name the entry to ask (--entry, --token-file) or the logs to read (--log)";
+        let message = "use --entry and --token-file to query an entry, or --log to read log files";
         return Err(Failure::new(EXIT_USAGE, message));
     }
     let mut log = String::new();
     for file in files {
-        let read = if file == Path::new("-") {
+        let result = if file == Path::new("-") {
             std::io::stdin().read_to_string(&mut log)
         } else {
             File::open(file).and_then(|mut opened| opened.read_to_string(&mut log))
         };
-        read.map_err(|error| Failure::new(EXIT_USAGE, format!("{}: {error}", file.display())))?;
+        result.map_err(|error| Failure::new(EXIT_USAGE, format!("{}: {error}", file.display())))?;
         log.push('\n');
     }
-    let told = gateway::history::history(log.lines(), request);
-    if told.is_empty() {
-        let message = format!("no line of the logs names request {request}");
+    let history = gateway::history::history(log.lines(), request);
+    if history.is_empty() {
+        let message = format!("no log line mentions request {request}");
         return Err(Failure::new(EXIT_NOT_FOUND, message));
     }
-    for line in told {
+    for line in history {
         println!("{line}");
     }
     Ok(())
@@ -66,7 +66,7 @@
         return Ok(());
     }
     for change in &changes {
-        println!("{}", output::change(change));
+        println!("{}", output::render_change(change));
     }
     Ok(())
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! Commands.
+//! Implementation of the commands.
 
 mod daemon;
 mod engine;
@@ -22,13 +22,13 @@
 
 type CommandResult = Result<(), Failure>;
 
-/// Runs one command.
+/// Runs a command and returns the exit code of the process.
 pub fn run(cli: Cli) -> ExitCode {
     let result = match cli {
-        Cli::Entry(file) => daemon::entry(&file),
-        Cli::Agent(file) => daemon::agent(&file),
-        Cli::Gateway(file) => daemon::gateway(&file),
-        Cli::Check(file) => daemon::check(&file),
+        Cli::Entry(file) => daemon::run_entry(&file),
+        Cli::Agent(file) => daemon::run_agent(&file),
+        Cli::Gateway(file) => daemon::run_gateway(&file),
+        Cli::Check(file) => daemon::check_settings(&file),
         Cli::Profile(command) => smol::block_on(profile::run(command)),
         Cli::Service(command) => smol::block_on(service::run(command)),
         Cli::Engine(command) => smol::block_on(engine::run(command)),
@@ -38,7 +38,7 @@
             log,
             subject,
         } if log.is_empty() => smol::block_on(inspect::explain(&entry, &subject)),
-        Cli::Explain { log, subject, .. } => inspect::history(&log, &subject),
+        Cli::Explain { log, subject, .. } => inspect::explain_from_logs(&log, &subject),
         Cli::Audit {
             entry,
             before,
@@ -81,11 +81,11 @@
     if options.json {
         output::print_json(outcome);
     } else {
-        println!("{}", output::outcome(outcome));
+        println!("{}", output::render_outcome(outcome));
     }
 }
 
-/// Prints a value as the options say.
+/// Prints a value as JSON or as text, depending on the options.
 fn print(options: &EntryOptions, value: &impl serde::Serialize) {
     if options.json {
         output::print_json(value);
--- a/src/cmd/profile.rs
+++ b/src/cmd/profile.rs
@@ -1,4 +1,4 @@
-//! `profile` commands.
+//! Commands about profiles.
 
 use control::Command;
 use jsonc_parser::parse_to_serde_value;
@@ -28,7 +28,7 @@
             values,
             name,
         } => {
-            let profile = with_values(&Profile::default(), &values, &name)?;
+            let profile = apply_values(&Profile::default(), &values, &name)?;
             let client = client(&change.entry_options)?;
             execute(&client, &change, Command::CreateProfile { profile }).await
         }
@@ -38,10 +38,10 @@
             name,
         } => {
             let client = client(&change.entry_options)?;
-            let current = find(&client, &name).await?;
-            let profile = with_values(&current.profile, &values, &name)?;
-            // The command sends the whole profile, so fields that somebody else changes meanwhile
-            // would be reverted without this condition.
+            let current = find_profile(&client, &name).await?;
+            let profile = apply_values(&current.profile, &values, &name)?;
+            // The command sends the whole profile. Without this condition it would revert changes
+            // that another operator makes in the meantime.
             change.if_revision.get_or_insert(current.revision);
             execute(&client, &change, Command::ChangeProfile { profile }).await
         }
@@ -51,7 +51,7 @@
         }
         ProfileCommand::List(entry) => {
             let profiles = client(&entry)?.profiles().await?;
-            print(&entry, &summaries(&entry, &profiles)?);
+            print(&entry, &profile_rows(&entry, &profiles)?);
             Ok(())
         }
         ProfileCommand::Show { entry, name } => show(&entry, &name).await,
@@ -60,23 +60,23 @@
 
 async fn show(options: &EntryOptions, name: &str) -> CommandResult {
     let client = client(options)?;
-    let found = find(&client, name).await?;
+    let found = find_profile(&client, name).await?;
     let behind = entries_behind(&client.status().await?, found.revision);
-    let mut shown = to_value(&found.profile)?;
-    if let Some(fields) = shown.as_object_mut() {
+    let mut profile = to_value(&found.profile)?;
+    if let Some(fields) = profile.as_object_mut() {
         fields.insert("revision".to_owned(), found.revision.into());
         let behind = if options.json {
             behind.into()
         } else {
-            behind.iter().map(output::entry).collect()
+            behind.iter().map(output::render_entry).collect()
         };
         fields.insert("not_yet_in_force_on".to_owned(), behind);
     }
-    print(options, &shown);
+    print(options, &profile);
     Ok(())
 }
 
-async fn find(client: &OperatorsClient, name: &str) -> Result<ProfileInForce, Failure> {
+async fn find_profile(client: &OperatorsClient, name: &str) -> Result<ProfileInForce, Failure> {
     let profiles = client.profiles().await?;
     profiles
         .into_iter()
@@ -84,7 +84,7 @@
         .ok_or_else(|| Failure::new(EXIT_NOT_FOUND, format!("profile/{name} does not exist")))
 }
 
-/// Entries of a status whose revision is lower.
+/// Entries of a status at a lower revision than this one.
 fn entries_behind(status: &Value, revision: Revision) -> Vec<Value> {
     let entries = status["entries"].as_array();
     entries
@@ -101,7 +101,7 @@
         .collect()
 }
 
-fn summaries(options: &EntryOptions, profiles: &[ProfileInForce]) -> Result<Value, Failure> {
+fn profile_rows(options: &EntryOptions, profiles: &[ProfileInForce]) -> Result<Value, Failure> {
     if options.json {
         return to_value(&profiles);
     }
@@ -120,14 +120,14 @@
     Ok(Value::Array(rows.collect()))
 }
 
-fn with_values(base: &Profile, values: &ProfileValues, name: &str) -> Result<Profile, Failure> {
+fn apply_values(base: &Profile, values: &ProfileValues, name: &str) -> Result<Profile, Failure> {
     let mut value = to_value(base)?;
     if let Some(file) = &values.file {
-        let shown = file.display();
+        let path = file.display();
         let text = std::fs::read_to_string(file)
-            .map_err(|error| Failure::new(EXIT_USAGE, format!("{shown}: {error}")))?;
+            .map_err(|error| Failure::new(EXIT_USAGE, format!("{path}: {error}")))?;
         let fields: Value = parse_to_serde_value(&text, &jsonc_parser::ParseOptions::default())
-            .map_err(|error| Failure::new(EXIT_USAGE, format!("{shown}: {error}")))?;
+            .map_err(|error| Failure::new(EXIT_USAGE, format!("{path}: {error}")))?;
         for (field, new) in fields.as_object().into_iter().flatten() {
             value[field] = new.clone();
         }
--- a/src/cmd/service.rs
+++ b/src/cmd/service.rs
@@ -1,4 +1,4 @@
-//! `service` commands.
+//! Commands about services.
 
 use control::Command;
 use types::Service;
@@ -25,13 +25,21 @@
                 Some("model") => ServiceKind::Model,
                 Some("plain") => ServiceKind::Plain,
                 Some(_) => {
-                    return Err(Failure::new(EXIT_USAGE, "--kind: use `model` or `plain`"));
+                    return Err(Failure::new(
+                        EXIT_USAGE,
+                        "--kind: invalid value; use `model` or `plain`",
+                    ));
                 }
                 None => {
                     let services = client.services().await?;
-                    let known = services.iter().find(|service| service.name == name);
-                    known.map(|service| service.kind).ok_or_else(|| {
-                        Failure::new(EXIT_USAGE, format!("service/{name} is new: state --kind"))
+                    let existing = services.iter().find(|service| service.name == name);
+                    existing.map(|service| service.kind).ok_or_else(|| {
+                        Failure::new(
+                            EXIT_USAGE,
+                            format!(
+                                "service/{name} does not exist; --kind is required to create it"
+                            ),
+                        )
                     })?
                 }
             };
--- a/src/failure.rs
+++ b/src/failure.rs
@@ -1,32 +1,33 @@
-//! Failed commands and their exit codes.
+//! Errors of commands and their exit codes.
 
 use std::fmt;
 
 use control::CommandError;
 use operators::OperatorError;
 
-/// The command failed for another reason than those below.
+/// Any failure that has no exit code of its own.
 pub const EXIT_FAILED: u8 = 1;
-/// Wrong usage.
+/// Invalid arguments, or a token, profile or log file that cannot be read.
 pub const EXIT_USAGE: u8 = 2;
-/// Another change came first, or the change contradicts what is in use.
+/// The item was changed in the meantime, exists already or is in use, or its state does not allow
+/// the change.
 pub const EXIT_CONFLICT: u8 = 3;
-/// The item does not exist.
+/// The requested item does not exist, or no log line mentions the request.
 pub const EXIT_NOT_FOUND: u8 = 4;
-/// The entry or the table does not answer.
+/// The entry or the table is unavailable.
 pub const EXIT_UNAVAILABLE: u8 = 5;
 
-/// A command that failed.
+/// Error of a command.
 #[derive(Debug)]
 pub struct Failure {
-    /// Exit code of the process.
+    /// Exit code of the process, one of the `EXIT_*` constants.
     pub code: u8,
-    /// For the operator.
+    /// Error message that is printed to standard error.
     pub message: String,
 }
 
 impl Failure {
-    /// A failure with an exit code.
+    /// Creates a failure whose message is the text of a value.
     pub fn new(code: u8, message: impl fmt::Display) -> Self {
         Self {
             code,
@@ -38,7 +39,7 @@
 impl From<OperatorError> for Failure {
     fn from(error: OperatorError) -> Self {
         let code = match &error {
-            OperatorError::Command(error) => command_code(error),
+            OperatorError::Command(error) => command_exit_code(error),
             OperatorError::Refused(problem) if problem.status == 503 => EXIT_UNAVAILABLE,
             OperatorError::Unreachable(_) | OperatorError::Interrupted(_) => EXIT_UNAVAILABLE,
             OperatorError::Refused(_) | OperatorError::Malformed(_) => EXIT_FAILED,
@@ -47,7 +48,7 @@
     }
 }
 
-fn command_code(error: &CommandError) -> u8 {
+fn command_exit_code(error: &CommandError) -> u8 {
     match error {
         CommandError::NotFound { .. } => EXIT_NOT_FOUND,
         CommandError::Conflict { .. }
--- a/src/output.rs
+++ b/src/output.rs
@@ -1,4 +1,4 @@
-//! Human-readable output.
+//! Output of commands as text or JSON.
 
 use control::CommandOutcome;
 use serde_json::Map;
@@ -6,7 +6,7 @@
 use types::Change;
 use types::change::ChangeBody;
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub fn print_json(value: &impl serde::Serialize) {
     match serde_json::to_string_pretty(value) {
         Ok(text) => println!("{text}"),
@@ -14,22 +14,22 @@
     }
 }
 
-/// Renders a value: scalar fields as lines, lists of objects as tables.
+/// Renders a value as text: scalar fields as lines, lists of objects as tables.
 pub fn render(value: &Value) -> String {
     let mut out = String::new();
     match value {
         Value::Object(fields) => render_fields(fields, &mut out),
-        Value::Array(items) => out.push_str(&table(items)),
+        Value::Array(items) => out.push_str(&render_table(items)),
         other => {
-            out.push_str(&cell(other));
+            out.push_str(&render_cell(other));
             out.push('\n');
         }
     }
     out
 }
 
-/// Renders a list of objects with one column for each field that occurs.
-pub fn table(items: &[Value]) -> String {
+/// Renders a list of objects as a table with one column for each field of any of them.
+pub fn render_table(items: &[Value]) -> String {
     if items.is_empty() {
         return "none\n".to_owned();
     }
@@ -42,18 +42,18 @@
         }
     }
     if columns.is_empty() {
-        return items.iter().map(|item| cell(item) + "\n").collect();
+        return items.iter().map(|item| render_cell(item) + "\n").collect();
     }
     let mut rows = vec![columns.iter().map(|name| (*name).to_owned()).collect()];
     rows.extend(items.iter().map(|item| {
-        let value = |name: &&str| item.get(*name).map_or(String::new(), cell);
+        let value = |name: &&str| item.get(*name).map_or(String::new(), render_cell);
         columns.iter().map(value).collect::<Vec<String>>()
     }));
-    align(&rows)
+    align_columns(&rows)
 }
 
-/// Name and address of an entry in a status; the address alone if the settings do not name it.
-pub fn entry(entry: &Value) -> String {
+/// Renders an entry of a status as its name and address, or as the one that is known.
+pub fn render_entry(entry: &Value) -> String {
     match (entry["name"].as_str(), entry["address"].as_str()) {
         (Some(name), Some(address)) => format!("{name} ({address})"),
         (Some(known), None) | (None, Some(known)) => known.to_owned(),
@@ -61,24 +61,28 @@
     }
 }
 
-/// One line about a command that succeeded.
-pub fn outcome(outcome: &CommandOutcome) -> String {
+/// Renders the outcome of a successful command in one line.
+pub fn render_outcome(outcome: &CommandOutcome) -> String {
     let change = &outcome.change;
     if outcome.dry_run {
-        format!("would be revision {}: {}", change.revision, body(change))
+        format!(
+            "would be revision {}: {}",
+            change.revision,
+            render_body(change)
+        )
     } else {
-        format!("revision {}: {}", change.revision, body(change))
+        format!("revision {}: {}", change.revision, render_body(change))
     }
 }
 
-/// One line about a change.
-pub fn change(change: &Change) -> String {
+/// Renders a change in one line: revision, time, author, content and reason.
+pub fn render_change(change: &Change) -> String {
     let mut line = format!(
         "{}  {}  {}  {}",
         change.revision,
-        time(change.at_ms.as_secs()),
+        format_utc(change.at_ms.as_secs()),
         change.by,
-        body(change)
+        render_body(change)
     );
     if !change.reason.is_empty() {
         line.push_str("  -- ");
@@ -87,17 +91,17 @@
     line
 }
 
-fn body(change: &Change) -> String {
+fn render_body(change: &Change) -> String {
     match &change.body {
         ChangeBody::Profile { before, after } => {
-            difference(&format!("profile/{}", after.name), before.as_ref(), after)
+            render_difference(&format!("profile/{}", after.name), before.as_ref(), after)
         }
         ChangeBody::ProfileRetired { name, .. } => format!("profile/{name} retired"),
         ChangeBody::Service { before, after } => {
-            difference(&format!("service/{}", after.name), before.as_ref(), after)
+            render_difference(&format!("service/{}", after.name), before.as_ref(), after)
         }
         ChangeBody::Target { before, after } => {
-            difference(&format!("target/{}", after.name), before.as_ref(), after)
+            render_difference(&format!("target/{}", after.name), before.as_ref(), after)
         }
         ChangeBody::Order { after, .. } => {
             let kind = serde_json::to_value(&after.kind).unwrap_or_default();
@@ -105,14 +109,14 @@
                 "order/{} number {}: {}",
                 after.target,
                 after.number,
-                cell(&kind)
+                render_cell(&kind)
             )
         }
         ChangeBody::PlanKept { service } => format!("plan of service/{service} kept"),
     }
 }
 
-fn difference<T: serde::Serialize>(item: &str, before: Option<&T>, after: &T) -> String {
+fn render_difference<T: serde::Serialize>(item: &str, before: Option<&T>, after: &T) -> String {
     let Some(before) = before else {
         return format!("{item} created");
     };
@@ -124,8 +128,8 @@
         .flatten()
         .filter(|(name, value)| before.get(name) != Some(value))
         .map(|(name, value)| {
-            let old = before.get(name).map_or(String::new(), cell);
-            format!("{name} {old} -> {}", cell(value))
+            let old = before.get(name).map_or(String::new(), render_cell);
+            format!("{name} {old} -> {}", render_cell(value))
         })
         .collect();
     if changed.is_empty() {
@@ -143,33 +147,33 @@
     let rows: Vec<Vec<String>> = fields
         .iter()
         .filter(|(_, value)| !is_table(value))
-        .map(|(name, value)| vec![format!("{name}:"), cell(value)])
+        .map(|(name, value)| vec![format!("{name}:"), render_cell(value)])
         .collect();
-    out.push_str(&align(&rows));
+    out.push_str(&align_columns(&rows));
     for (name, value) in fields.iter().filter(|(_, value)| is_table(value)) {
         out.push('\n');
         out.push_str(name);
         out.push_str(":\n");
-        out.push_str(&table(value.as_array().map_or(&[], Vec::as_slice)));
+        out.push_str(&render_table(value.as_array().map_or(&[], Vec::as_slice)));
     }
 }
 
-fn cell(value: &Value) -> String {
+fn render_cell(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
         Value::Object(fields) => {
             let parts = fields
                 .iter()
-                .map(|(name, value)| format!("{name}={}", cell(value)));
+                .map(|(name, value)| format!("{name}={}", render_cell(value)));
             parts.collect::<Vec<_>>().join(" ")
         }
-        Value::Array(items) => items.iter().map(cell).collect::<Vec<_>>().join(","),
+        Value::Array(items) => items.iter().map(render_cell).collect::<Vec<_>>().join(","),
         other => other.to_string(),
     }
 }
 
-fn align(rows: &[Vec<String>]) -> String {
+fn align_columns(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
@@ -190,26 +194,26 @@
     out
 }
 
-/// UTC time of day and date, by the usual conversion of days to a civil date.
-fn time(epoch_s: u64) -> String {
-    let (days, second) = (epoch_s / 86_400, epoch_s % 86_400);
-    // Years start in March, so that the leap day is the last day of a year.
-    let shifted = days + 719_468;
-    let (era, day_of_era) = (shifted / 146_097, shifted % 146_097);
+/// Formats a Unix time as UTC date and time, by converting the day number to a civil date.
+fn format_utc(epoch_s: u64) -> String {
+    let (days, second_of_day) = (epoch_s / 86_400, epoch_s % 86_400);
+    // Counts days from 0000-03-01: if years start in March, the leap day is the last day of a year.
+    let shifted_days = days + 719_468;
+    let (era, day_of_era) = (shifted_days / 146_097, shifted_days % 146_097);
     let year_of_era =
         (day_of_era - day_of_era / 1460 + day_of_era / 36_524 - day_of_era / 146_096) / 365;
     let day_of_year = day_of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
-    let shifted_month = (5 * day_of_year + 2) / 153;
-    let day = day_of_year - (153 * shifted_month + 2) / 5 + 1;
-    let month = if shifted_month < 10 {
-        shifted_month + 3
+    let month_from_march = (5 * day_of_year + 2) / 153;
+    let day = day_of_year - (153 * month_from_march + 2) / 5 + 1;
+    let month = if month_from_march < 10 {
+        month_from_march + 3
     } else {
-        shifted_month - 9
+        month_from_march - 9
     };
     let year = year_of_era + era * 400 + u64::from(month <= 2);
-    let (hour, minute) = (second / 3600, second / 60 % 60);
+    let (hour, minute) = (second_of_day / 3600, second_of_day / 60 % 60);
     format!(
         "{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{:02}Z",
-        second % 60
+        second_of_day % 60
     )
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line against an operators' port with scripted answers.
+//! Tests of the command line against an operators' port with scripted responses.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -28,10 +28,11 @@
 
 const TOKEN: &str = "0123456789abcdef0123456789abcdef";
 
-/// Fails commands about items whose name tells how, and notes the rest.
+/// Control that fails commands about the items `missing`, `used` and `outage`, and records the
+/// expected revision of each command.
 #[derive(Default)]
-struct Scripted {
-    conditions: RefCell<Vec<Option<Revision>>>,
+struct ScriptedControl {
+    expected_revisions: RefCell<Vec<Option<Revision>>>,
 }
 
 fn profile(name: &str) -> Profile {
@@ -42,13 +43,15 @@
     }
 }
 
-impl Control for Scripted {
+impl Control for ScriptedControl {
     fn execute(
         &self,
         operator: String,
         request: CommandRequest,
     ) -> ControlFuture<'_, CommandOutcome> {
-        self.conditions.borrow_mut().push(request.if_revision);
+        self.expected_revisions
+            .borrow_mut()
+            .push(request.if_revision);
         let result = match &request.command {
             Command::RetireProfile { name } if name == "missing" => Err(CommandError::NotFound {
                 item: "profile/missing".to_owned(),
@@ -123,7 +126,7 @@
     }
 }
 
-fn program(arguments: &[&str]) -> Output {
+fn run_program(arguments: &[&str]) -> Output {
     Process::new(env!("CARGO_BIN_EXE_chervilspool"))
         .args(arguments)
         .env_remove("CHERVILSPOOL_ENTRY")
@@ -132,7 +135,7 @@
         .unwrap()
 }
 
-/// File with the token, written once, because tests run beside each other.
+/// Path of a file with the token. It is written once, because tests run in parallel.
 fn token_file() -> String {
     static FILE: OnceLock<String> = OnceLock::new();
     let file = FILE.get_or_init(|| {
@@ -143,11 +146,12 @@
     file.clone()
 }
 
-/// Runs the program against a port; returns exit code, standard output and standard error.
-fn run(arguments: &[&str], control: Rc<Scripted>) -> (i32, String, String) {
+/// Runs the program against an operators' port, and returns its exit code, standard output and
+/// standard error.
+fn run(arguments: &[&str], control: Rc<ScriptedControl>) -> (i32, String, String) {
     let token_file = token_file();
     let executor = Rc::new(LocalExecutor::new());
-    let server = executor.clone();
+    let server_executor = executor.clone();
     smol::block_on(executor.run(async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr: SocketAddr = listener.local_addr().unwrap();
@@ -157,14 +161,16 @@
             token: Token(TOKEN.to_owned()),
         }];
         let port = Rc::new(OperatorsPort::new(&operators, control));
-        let serving = operators::serve(listener, port, server.clone(), stopped);
-        server.spawn(async move { serving.await.unwrap() }).detach();
+        let server_task = operators::serve(listener, port, server_executor.clone(), stopped);
+        server_executor
+            .spawn(async move { server_task.await.unwrap() })
+            .detach();
         let mut arguments: Vec<String> = arguments.iter().map(|a| (*a).to_owned()).collect();
         arguments.extend(["--entry".to_owned(), addr.to_string()]);
         arguments.extend(["--token-file".to_owned(), token_file]);
         let output = smol::unblock(move || {
             let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
-            program(&arguments)
+            run_program(&arguments)
         })
         .await;
         (
@@ -175,9 +181,9 @@
     }))
 }
 
-// Guards against scripts that cannot tell a conflict from an outage.
+// Guards against failures that scripts cannot distinguish, such as a conflict and an outage.
 #[test]
-fn exit_codes_tell_failures_apart() {
+fn exit_codes_distinguish_failures() {
     let cases: [(&[&str], i32); 8] = [
         (&["profile", "retire", "old"], 0),
         (&["profile", "change", "desk", "--set", "priority=77"], 1),
@@ -195,25 +201,25 @@
     }
 }
 
-// Guards against a change that silently reverts another operator's.
+// Guards against a change that reverts a concurrent change of another operator.
 #[test]
-fn profile_change_is_conditional_on_the_revision_it_read() {
-    let control = Rc::new(Scripted::default());
+fn profile_change_requires_the_revision_that_it_read() {
+    let control = Rc::new(ScriptedControl::default());
     let arguments = ["profile", "change", "desk", "--set", "deadline_ms=8000"];
     let (code, out, error) = run(&arguments, control.clone());
     assert_eq!(code, 0, "{error}");
     assert_eq!(out, "revision 8: profile/desk deadline_ms 30000 -> 8000\n");
-    assert_eq!(*control.conditions.borrow(), [Some(7)]);
+    assert_eq!(*control.expected_revisions.borrow(), [Some(7)]);
 }
 
 #[test]
-fn profile_show_names_entries_that_are_behind() {
+fn profile_show_lists_entries_at_a_lower_revision() {
     let (_, out, _) = run(&["profile", "show", "desk"], Rc::default());
     let line = out
         .lines()
         .find(|line| line.starts_with("not_yet_in_force_on:"));
-    let both = " e2 (10.0.0.2:1),10.0.0.3:1";
-    assert!(line.unwrap().ends_with(both), "{out}");
+    let entries = " e2 (10.0.0.2:1),10.0.0.3:1";
+    assert!(line.unwrap().ends_with(entries), "{out}");
     let (_, out, _) = run(&["profile", "show", "desk", "--json"], Rc::default());
     let shown: serde_json::Value = serde_json::from_str(&out).unwrap();
     let behind = &shown["not_yet_in_force_on"];
@@ -223,7 +229,7 @@
 }
 
 #[test]
-fn audit_prints_who_when_what_and_why() {
+fn audit_prints_revision_time_operator_change_and_reason() {
     let (_, out, _) = run(&["audit"], Rc::default());
     assert_eq!(
         out,
@@ -235,24 +241,24 @@
 }
 
 #[test]
-fn check_names_file_line_and_field() {
+fn check_prints_file_line_and_field_of_an_error() {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("entry.jsonc");
     let text = include_str!("../examples/settings/kitagawa-entry.jsonc");
     std::fs::write(&file, text.replace("\"connections\"", "\"conections\"")).unwrap();
-    let shown = file.display().to_string();
-    let output = program(&["check", "--settings", &shown]);
+    let path = file.display().to_string();
+    let output = run_program(&["check", "--settings", &path]);
     assert_eq!(output.status.code(), Some(1));
     let error = String::from_utf8(output.stderr).unwrap();
     let line = 1 + text
         .lines()
         .position(|l| l.contains("connections"))
         .unwrap();
-    let start = format!("{shown}:{line}: field `limits.conections`: ");
-    assert!(error.starts_with(&start), "{error}");
+    let prefix = format!("{path}:{line}: field `limits.conections`: ");
+    assert!(error.starts_with(&prefix), "{error}");
 }
 
 #[test]
-fn every_help_has_an_example() {
+fn help_of_every_command_has_an_example() {
     let commands = [
         "entry",
         "agent",
@@ -280,7 +286,7 @@
     for command in commands {
         let mut arguments: Vec<&str> = command.split(' ').collect();
         arguments.push("--help");
-        let output = program(&arguments);
+        let output = run_program(&arguments);
         assert_eq!(output.status.code(), Some(0));
         let help = String::from_utf8(output.stdout).unwrap();
         assert!(help.contains("Example: chervilspool "), "{command}\n{help}");
@@ -288,20 +294,20 @@
 }
 
 #[test]
-fn explain_without_an_entry_reads_logs() {
-    let run = |words: &[&str]| {
+fn explain_reads_log_files_without_an_entry() {
+    let run = |arguments: &[&str]| {
         let output = Process::new(env!("CARGO_BIN_EXE_chervilspool"))
-            .args(words)
+            .args(arguments)
             .env_remove("CHERVILSPOOL_ENTRY")
             .env_remove("CHERVILSPOOL_TOKEN_FILE")
             .output()
-            .expect("the program runs");
+            .expect("the program starts");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         (output.status.code(), text)
     };
     let log = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("explain.log");
     let line = r#"{"ts":"2026-12-04T00:00:02Z","host":"h","code":"CS5204","msg":"request ended","request":"a1","outcome":"cut"}"#;
-    std::fs::write(&log, line).expect("a file for the log");
+    std::fs::write(&log, line).expect("the log file is writable");
     let log = log.display().to_string();
     let (status, text) = run(&["explain", "--log", &log, "a1"]);
     assert_eq!(status, Some(0));
--- a/tests/headers.rs
+++ b/tests/headers.rs
@@ -1,6 +1,6 @@
-//! Header fields on the whole path: caller, entry, agent, plain service, and back.
+//! Header fields of requests and responses between caller, entry, agent and plain service.
 //!
-//! The daemons are processes that this program starts as itself, so it has no test harness.
+//! The program starts copies of itself as the daemons, so it does not use the test harness.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -22,8 +22,8 @@
 use testbed::deployment::PLAIN_SERVICE;
 use testbed::deployment::call;
 
-/// Fields that the service sends and callers get.
-const PASSING: [(&str, &str); 11] = [
+/// Response fields of the service that reach the caller.
+const FORWARDED: [(&str, &str); 11] = [
     ("cache-control", "private, max-age=5"),
     ("content-disposition", "attachment; filename=\"orden.json\""),
     ("content-language", "es-AR"),
@@ -36,8 +36,8 @@
     ("www-authenticate", "Basic realm=\"mulas\""),
     ("x-any", "1, 2"),
 ];
-/// Fields that the service sends and callers do not get.
-const STAYING: [(&str, &str); 4] = [
+/// Response fields of the service that do not reach the caller: hop-by-hop fields.
+const HOP_BY_HOP: [(&str, &str); 4] = [
     ("connection", "X-Hop"),
     ("keep-alive", "timeout=5"),
     ("x-hop", "1"),
@@ -68,33 +68,33 @@
         log_requests: false,
     })
     .await?;
-    let result = check(&deployment).await;
+    let result = check_headers(&deployment).await;
     deployment.stop().await;
     deployment.clean_up(result.is_err());
     result
 }
 
-async fn check(deployment: &Deployment) -> eyre::Result<()> {
-    let headers: Vec<(&str, &str)> = PASSING.into_iter().chain(STAYING).collect();
+async fn check_headers(deployment: &Deployment) -> eyre::Result<()> {
+    let headers: Vec<(&str, &str)> = FORWARDED.into_iter().chain(HOP_BY_HOP).collect();
     call::<serde_json::Value>(deployment.plain, Method::Post, "/headers", Some(&headers))
         .await
-        .ok_or_eyre("the plain service takes no headers")?;
+        .ok_or_eyre("the plain service did not accept the response headers to send")?;
     let entries = deployment.callers();
-    check_answer(&send(entries[0]).await?)?;
+    check_response(&send(entries[0]).await?)?;
     let counters = counters(deployment).await?;
     check_request(&counters)?;
 
-    // The entry writes the answer to the table after it has sent it. Without an agent, the other
-    // entry can have it from there only.
+    // The entry writes the response to the table after sending it. Once the agent is killed, the
+    // table is the only source of the response for the other entry.
     Timer::after(Duration::from_secs(1)).await;
     deployment.agents.borrow_mut()[0].kill();
-    check_answer(&send(entries[1]).await?)?;
+    check_response(&send(entries[1]).await?)?;
     let runs: Vec<u32> = counters.runs.values().copied().collect();
-    eyre::ensure!(runs == [1], "runs: {runs:?}");
+    eyre::ensure!(runs == [1], "expected one run of the request, got {runs:?}");
     Ok(())
 }
 
-/// Sends the same order each time.
+/// Sends a request with the same idempotency key on each call.
 async fn send(entry: SocketAddr) -> eyre::Result<WholeResponse> {
     let client = Client::new(entry, ClientLimits::default());
     let path = format!("/services/{PLAIN_SERVICE}/ordenes");
@@ -122,39 +122,50 @@
 async fn counters(deployment: &Deployment) -> eyre::Result<PlainCounters> {
     call(deployment.plain, Method::Get, "/counters", None::<&()>)
         .await
-        .ok_or_eyre("the plain service has no counters")
+        .ok_or_eyre("the plain service did not return its counters")
 }
 
-/// Guards against answers, first or stored, that lack fields of the service, merge lines of one
-/// name, or carry fields of the connection between agent and service.
-fn check_answer(answer: &WholeResponse) -> eyre::Result<()> {
-    eyre::ensure!(answer.status == 200, "status {}", answer.status);
-    for (name, _) in PASSING {
-        let got: Vec<&str> = answer.headers.get(name).map_or_else(Vec::new, |values| {
+/// Guards against responses, original or stored, that lack fields of the service, merge fields of
+/// one name, or include hop-by-hop fields of the connection between agent and service.
+fn check_response(response: &WholeResponse) -> eyre::Result<()> {
+    eyre::ensure!(
+        response.status == 200,
+        "expected status 200, got {}",
+        response.status
+    );
+    for (name, _) in FORWARDED {
+        let received: Vec<&str> = response.headers.get(name).map_or_else(Vec::new, |values| {
             values.iter().map(HeaderValue::as_str).collect()
         });
-        let sent: Vec<&str> = PASSING
+        let sent: Vec<&str> = FORWARDED
             .iter()
             .filter(|(n, _)| *n == name)
             .map(|p| p.1)
             .collect();
-        eyre::ensure!(got == sent, "{name}: {got:?}");
+        eyre::ensure!(
+            received == sent,
+            "{name}: expected {sent:?}, got {received:?}"
+        );
     }
-    for (name, _) in STAYING {
+    for (name, _) in HOP_BY_HOP {
         eyre::ensure!(
-            answer.headers.get(name).is_none(),
+            response.headers.get(name).is_none(),
             "{name} reached the caller"
         );
     }
-    let served_by = answer
+    let served_by = response
         .headers
         .get("x-served-by")
         .map(|v| v.as_str().to_owned());
-    eyre::ensure!(served_by.as_deref() == Some("ordenes-0"), "{served_by:?}");
+    eyre::ensure!(
+        served_by.as_deref() == Some("ordenes-0"),
+        "x-served-by: {served_by:?}"
+    );
     Ok(())
 }
 
-/// Guards against requests that lack the caller's fields, or carry what is meant for the entry.
+/// Guards against requests to the service that lack fields of the caller, or include fields meant
+/// for the entry.
 fn check_request(counters: &PlainCounters) -> eyre::Result<()> {
     let values = |name: &str| -> Vec<&str> {
         let named = counters.last_headers.iter().filter(|(n, _)| n == name);
@@ -165,7 +176,10 @@
     eyre::ensure!(values("cookie") == ["c=3"]);
     eyre::ensure!(values("x-tag") == ["one", "two"]);
     eyre::ensure!(values("content-type") == ["application/json"]);
-    eyre::ensure!(values("x-priority") != ["0"], "the caller set the priority");
+    eyre::ensure!(
+        values("x-priority") != ["0"],
+        "the service received the caller's x-priority"
+    );
     for name in [
         "x-caller",
         "idempotency-key",
