--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the whole path on loopback: stand-in platform, three engines (one ignores fencing numbers),
-# a plain service, their agents and two entries, with profiles of both users. Checks every answer
-# and stops everything gracefully. Exit status 0 only if all checks hold.
+# Runs a complete deployment on loopback: a stand-in platform, three engines (one ignores fencing
+# numbers), a plain service, their agents and two entries, with profiles of both users. Checks every
+# response and stops all daemons gracefully. The exit status is 0 only if all checks pass.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -28,8 +28,8 @@
 trap cleanup EXIT
 
 is_free() { ! (exec 3<>"/dev/tcp/127.0.0.1/$1") 2>/dev/null; }
-# Below the range from which the kernel takes ports for outgoing connections: such a port can be
-# in use without anybody listening.
+# Below the range of ephemeral ports: the kernel takes those for outgoing connections, so they can be
+# in use although nothing listens on them.
 next=$((20000 + RANDOM % 12000))
 port() { # sets $free to an unused port
   until is_free "$next"; do next=$((next + 1)); done
@@ -93,7 +93,7 @@
     "keys": [{ "id": 1, "secret": "$key" }],
     "operators": [{ "name": "demo", "token": "$token" }],
     "caller_identity": { "header": "X-Caller" },
-    // Short, because nothing here asks for /healthz.
+    // Short, because no load balancer requests /healthz here.
     "intervals": { "balancer_notice_ms": 300, "lease_ms": 2000 }
 }
 JSON
@@ -121,7 +121,7 @@
 # --- start ---------------------------------------------------------------------------------
 
 start platform "$standin" platform --listen "$platform"
-wait_for "platform answers" curl -fsS "http://$platform/counters"
+wait_for "platform is ready" curl -fsS "http://$platform/counters"
 engines=()
 for engine in bitacora-01:modelos-bitacora:true bitacora-02:modelos-bitacora:false draft-01:draft-models:true; do
   IFS=: read -r name service honours <<<"$engine"
@@ -155,8 +155,8 @@
 open_targets() { # entry operators' address, number
   [ "$("$bin" status --json --entry "$1" | grep -o '"standing": *"Open"' | wc -l)" = "$2" ]
 }
-wait_for "all targets take work at entry 1" open_targets "$control1" 4
-wait_for "all targets take work at entry 2" open_targets "$control2" 4
+wait_for "all targets are open at entry 1" open_targets "$control1" 4
+wait_for "all targets are open at entry 2" open_targets "$control2" 4
 
 # --- requests ------------------------------------------------------------------------------
 
@@ -168,7 +168,7 @@
 }
 header() { tr -d '\r' <"$1.head" | sed -n "s/^$2: //Ip"; }
 text_of() { grep -o '"text":"[^"]*"' "$1" | sed 's/^"text":"//; s/"$//' | tr -d '\n'; }
-direct() { # engine body: text of the same answer without the system in between
+direct() { # engine body: text of the engine's response to a direct request
   curl -sS -H 'Content-Type: application/json' --data-binary "$2" "http://$1/v1/completions" >"$work/direct"
   text_of "$work/direct"
 }
@@ -177,9 +177,9 @@
 logbook=$(printf 'flue checked, roof sheet loose, intake frozen; %.0s' $(seq 1 400))
 body="{\"model\":\"demo\",\"prompt\":\"$logbook\",\"max_tokens\":40}"
 status=$(ask "$entry1" modelos-bitacora v1/completions "$body" "$work/long")
-show "long read" "$status" "$work/long"
-check "long read is answered" 200 "$status"
-check "long read is whole" "$(direct "${engines[0]}" "$body")" "$(text_of "$work/long")"
+show "long prompt" "$status" "$work/long"
+check "long prompt gets a response" 200 "$status"
+check "response to the long prompt is complete" "$(direct "${engines[0]}" "$body")" "$(text_of "$work/long")"
 
 for question in 1 2 3; do
   body="{\"model\":\"demo\",\"prompt\":\"desk question $question: is the upper hut open?\",\"max_tokens\":8}"
@@ -187,19 +187,19 @@
   [ "$question" = 2 ] && entry=$entry2
   status=$(ask "$entry" draft-models v1/completions "$body" "$work/desk")
   show "desk question $question" "$status" "$work/desk"
-  check "desk question $question is answered with its own answer" "200 $(direct "${engines[2]}" "$body")" "$status $(text_of "$work/desk")"
+  check "desk question $question gets the response to its own prompt" "200 $(direct "${engines[2]}" "$body")" "$status $(text_of "$work/desk")"
 done
 
-# A stream, and a drain of the engine that serves it.
+# A streamed response, and a drain of the engine that serves it.
 body='{"model":"demo","prompt":"a long stream about the water intake","max_tokens":150,"stream":true}'
 ask "$entry1" modelos-bitacora v1/completions "$body" "$work/stream" -N >"$work/stream.status" &
 stream=$!
-wait_for "stream begins" grep -q "^data:" "$work/stream"
+wait_for "stream starts" grep -q "^data:" "$work/stream"
 serving=$(header "$work/stream" x-served-by)
 "$bin" engine drain "$serving" --reason "demo: drained during a stream" >/dev/null
-echo "      stream: served by $serving, which is drained now"
+echo "      stream: served by $serving, which is being drained"
 
-# Meanwhile, a work order sent twice with the same key to two entries.
+# Meanwhile, a work order is sent to both entries with the same idempotency key.
 order='{"hut":"refugio-natural","mules":3}'
 ask "$entry1" ordenes-mulas orders-book/new "$order" "$work/order1" -H 'Idempotency-Key: order-17' >"$work/order1.status" &
 first=$!
@@ -207,33 +207,33 @@
 second=$!
 wait "$first" "$second"
 show "work order" "$(cat "$work/order1.status")" "$work/order1"
-show "work order, sent again" "$(cat "$work/order2.status")" "$work/order2"
-check "work order is answered twice alike" "$(cat "$work/order1.status") $(cat "$work/order1")" "$(cat "$work/order2.status") $(cat "$work/order2")"
+show "work order, resent" "$(cat "$work/order2.status")" "$work/order2"
+check "both copies of the work order get the same response" "$(cat "$work/order1.status") $(cat "$work/order1")" "$(cat "$work/order2.status") $(cat "$work/order2")"
 runs_of_order() { curl -sS "http://$plain/counters" | grep -o '"runs":{[^}]*}' | grep -o ':[0-9][0-9]*' | tr -d ':'; }
 check "work order ran once" 1 "$(runs_of_order)"
 status=$(ask "$entry1" ordenes-mulas orders-book/new "$order" "$work/order3")
-check "work order without a key is refused as not run" '400 "run":"not-run"' "$status $(grep -o '"run":"[^"]*"' "$work/order3")"
+check "work order without an idempotency key is refused with run state not-run" '400 "run":"not-run"' "$status $(grep -o '"run":"[^"]*"' "$work/order3")"
 
 for number in 1 2 3 4; do
   body="{\"model\":\"demo\",\"prompt\":\"after the drain $number\",\"max_tokens\":4}"
   status=$(ask "$entry2" modelos-bitacora v1/completions "$body" "$work/after")
-  check "request $number after the drain is answered by the other engine" "200 other" "$status $([ "$(header "$work/after" x-served-by)" = "$serving" ] && echo "$serving" || echo other)"
+  check "request $number after the drain is served by the other engine" "200 other" "$status $([ "$(header "$work/after" x-served-by)" = "$serving" ] && echo "$serving" || echo other)"
 done
 
 "$bin" profile change logbook --set deadline_ms=45000 --reason "demo: changed during a stream" >/dev/null
 wait "$stream"
-check "stream is not cut by the drain and the change" "200 $(direct "${engines[0]}" '{"prompt":"a long stream about the water intake","max_tokens":150}')" "$(cat "$work/stream.status") $(text_of "$work/stream")"
-check "stream has its end" "data: [DONE]" "$(grep '^data:' "$work/stream" | tail -n 1)"
+check "stream is not interrupted by the drain and the profile change" "200 $(direct "${engines[0]}" '{"prompt":"a long stream about the water intake","max_tokens":150}')" "$(cat "$work/stream.status") $(text_of "$work/stream")"
+check "stream ends with [DONE]" "data: [DONE]" "$(grep '^data:' "$work/stream" | tail -n 1)"
 
 in_force() { "$bin" profile show logbook --json --entry "$1" | grep -q '"deadline_ms": *45000'; }
-wait_for "change is in force at entry 2" in_force "$control2"
+wait_for "profile change is in force at entry 2" in_force "$control2"
 "$bin" engine order "$serving" --role decode --reason "demo: role change of a drained engine" >/dev/null
 wait_for "role change is executed" "$bin" engine resume "$serving" --reason "demo: back in service"
-wait_for "all targets take work again" open_targets "$control1" 4
+wait_for "all targets are open again" open_targets "$control1" 4
 roles() { "$bin" status --json | grep -o '"role": *"decode"' | wc -l; }
 check "role change is in force" 1 "$(roles)"
 
-# A new operator's token, taken over without a restart.
+# Reload of the settings with a new operator's token, without a restart.
 echo demo-token-of-the-operator-0000000002 >"$work/token2"
 sed -i 's/demo-token-of-the-operator-0000000001/demo-token-of-the-operator-0000000002/' "$work/entry-2.jsonc"
 for index in "${!names[@]}"; do [ "${names[$index]}" != entry-2 ] || kill -HUP "${pids[$index]}"; done
@@ -260,4 +260,4 @@
   done
 done
 
-if [ "$failures" = 0 ]; then echo "demo: all checks hold"; else echo "demo: $failures checks failed"; exit 1; fi
+if [ "$failures" = 0 ]; then echo "demo: all checks passed"; else echo "demo: $failures checks failed"; exit 1; fi
