--- a/components/settings/src/load.rs
+++ b/components/settings/src/load.rs
@@ -273,7 +273,7 @@
     range.start <= position && position < range.end
 }
 
-/// Position of the innermost property or array element on a path that exists.
+/// Position of the innermost existing property or array element on a path.
 fn find_position(value: &Value<'_>, path: &str) -> Option<usize> {
     let mut current = value;
     let mut position = None;
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -99,7 +99,7 @@
 JSON
 }
 
-agent_settings() { # name service kind engine-address honours
+agent_settings() { # name service kind target-address honours-fencing
   port
   cat >"$work/agent-$1.jsonc" <<JSON
 {
@@ -152,7 +152,7 @@
 "$bin" service set draft-models --kind model --profile pitch-draft >/dev/null
 "$bin" service set ordenes-mulas --kind plain --profile work-order >/dev/null
 
-open_targets() { # entry operators' address, number
+open_targets() { # operators' address of an entry, expected number of open targets
   [ "$("$bin" status --json --entry "$1" | grep -o '"standing": *"Open"' | wc -l)" = "$2" ]
 }
 wait_for "all targets are open at entry 1" open_targets "$control1" 4
@@ -160,7 +160,7 @@
 
 # --- requests ------------------------------------------------------------------------------
 
-ask() { # entry service path body out-file [curl options]
+ask() { # address-of-entry service path body output-file [curl options]
   local entry=$1 service=$2 path=$3 body=$4 out=$5
   shift 5
   curl -sS -D "$out.head" -o "$out" -w '%{http_code}' -H 'Content-Type: application/json' \
--- a/src/cmd/profile.rs
+++ b/src/cmd/profile.rs
@@ -61,16 +61,16 @@
 async fn show(options: &EntryOptions, name: &str) -> CommandResult {
     let client = client(options)?;
     let found = find_profile(&client, name).await?;
-    let behind = entries_behind(&client.status().await?, found.revision);
+    let outdated = entries_below_revision(&client.status().await?, found.revision);
     let mut profile = to_value(&found.profile)?;
     if let Some(fields) = profile.as_object_mut() {
         fields.insert("revision".to_owned(), found.revision.into());
-        let behind = if options.json {
-            behind.into()
+        let outdated = if options.json {
+            outdated.into()
         } else {
-            behind.iter().map(output::render_entry).collect()
+            outdated.iter().map(output::render_entry).collect()
         };
-        fields.insert("not_yet_in_force_on".to_owned(), behind);
+        fields.insert("not_yet_in_force_on".to_owned(), outdated);
     }
     print(options, &profile);
     Ok(())
@@ -84,8 +84,8 @@
         .ok_or_else(|| Failure::new(EXIT_NOT_FOUND, format!("profile/{name} does not exist")))
 }
 
-/// Entries of a status at a lower revision than this one.
-fn entries_behind(status: &Value, revision: Revision) -> Vec<Value> {
+/// Entries of a status that are at a lower revision.
+fn entries_below_revision(status: &Value, revision: Revision) -> Vec<Value> {
     let entries = status["entries"].as_array();
     entries
         .into_iter()
--- a/src/output.rs
+++ b/src/output.rs
@@ -29,7 +29,7 @@
 }
 
 /// Renders a list of objects as a table with one column for each field of any of them.
-pub fn render_table(items: &[Value]) -> String {
+fn render_table(items: &[Value]) -> String {
     if items.is_empty() {
         return "none\n".to_owned();
     }
@@ -56,7 +56,7 @@
 pub fn render_entry(entry: &Value) -> String {
     match (entry["name"].as_str(), entry["address"].as_str()) {
         (Some(name), Some(address)) => format!("{name} ({address})"),
-        (Some(known), None) | (None, Some(known)) => known.to_owned(),
+        (Some(text), None) | (None, Some(text)) => text.to_owned(),
         (None, None) => String::new(),
     }
 }
