--- a/examples/soak/agents.rs
+++ b/examples/soak/agents.rs
@@ -1,4 +1,4 @@
-//! Agent processes beside their targets.
+//! Agent processes: start, stop, and execution of the actions that `Agent` returns.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -22,40 +22,41 @@
 use wire::ToEntry;
 
 use crate::net::Frame;
-use crate::repair::Repair;
+use crate::repairs::Repair;
 use crate::setup::MODEL_SERVICE;
 use crate::setup::PLAIN_SERVICE;
 use crate::setup::agent_address;
-use crate::world::Happening;
-use crate::world::Input;
-use crate::world::Node;
-use crate::world::Phase;
-use crate::world::World;
+use crate::simulation::Input;
+use crate::simulation::Node;
+use crate::simulation::Phase;
+use crate::simulation::SimEvent;
+use crate::simulation::Simulation;
 
-/// Host of a target, with the target and the agent beside it.
+/// Host of a target, with the target and its current agent process.
 pub struct AgentHost {
     pub name: String,
     pub host: String,
-    /// Grows when the host is replaced under the same address.
+    /// Incremented when another host takes over the address.
     pub generation: u64,
     pub incarnation: Incarnation,
     pub agent: Option<Agent>,
     pub paused_until: Option<Instant>,
     pub inbox: VecDeque<Input>,
-    pub leaving: bool,
-    pub cut: Rc<Cell<bool>>,
+    pub is_stopping: bool,
+    /// The process cannot reach the platform.
+    pub is_disconnected: Rc<Cell<bool>>,
     pub table: Option<Rc<Guarded>>,
     pub target: FakeTarget,
-    /// Orders that have not reached the engine yet, of all runs of the agent.
-    pub orders_under_way: u32,
+    /// Orders in transit to the engine, from all runs of the agent.
+    pub orders_in_flight: u32,
     /// Attempts accepted in this run.
     pub accepted: HashSet<AttemptId>,
-    /// Since when nothing has kept the process from its orders.
-    pub undisturbed: Instant,
-    /// Since when the host list calls the host leaving.
-    pub listed_leaving: Option<Instant>,
-    /// The run was started under the name of a withdrawn target.
-    pub reused: bool,
+    /// End of the last fault that kept the process from reading its orders.
+    pub stable_since: Instant,
+    /// When the host list began to report the host as leaving.
+    pub listed_leaving_since: Option<Instant>,
+    /// The current run started under the name of a withdrawn target.
+    pub reuses_withdrawn_name: bool,
 }
 
 impl AgentHost {
@@ -68,15 +69,15 @@
             agent: None,
             paused_until: None,
             inbox: VecDeque::new(),
-            leaving: false,
-            cut: Rc::default(),
+            is_stopping: false,
+            is_disconnected: Rc::default(),
             table: None,
             target,
-            orders_under_way: 0,
+            orders_in_flight: 0,
             accepted: HashSet::new(),
-            undisturbed: Instant::now(),
-            listed_leaving: None,
-            reused: false,
+            stable_since: Instant::now(),
+            listed_leaving_since: None,
+            reuses_withdrawn_name: false,
         }
     }
 
@@ -93,12 +94,12 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn start_agent(&mut self, at: usize) {
-        self.take_new_name(at);
-        let incarnation = self.fresh();
-        let cut: Rc<Cell<bool>> = Rc::default();
-        let table = self.guarded(cut.clone());
+        self.rename_withdrawn_target(at);
+        let incarnation = self.random_id();
+        let is_disconnected: Rc<Cell<bool>> = Rc::default();
+        let table = self.guarded(is_disconnected.clone());
         let now = self.now();
         let host = &mut self.agents[at];
         let mut limits = Limits::new(host.name.clone(), incarnation, agent_address(at));
@@ -114,19 +115,19 @@
         host.agent = Some(Agent::new(limits));
         host.paused_until = None;
         host.inbox.clear();
-        host.leaving = false;
-        host.cut = cut;
+        host.is_stopping = false;
+        host.is_disconnected = is_disconnected;
         host.table = Some(table);
         host.accepted.clear();
-        host.undisturbed = now;
-        self.note(&format!("agent {at} starts as {incarnation:x}"));
-        self.after(
+        host.stable_since = now;
+        self.log(&format!("agent {at} starts as {incarnation:x}"));
+        self.schedule_after(
             Duration::ZERO,
-            Happening::Wake(Node::Agent(at), incarnation),
+            SimEvent::Timer(Node::Agent(at), incarnation),
         );
     }
 
-    /// The process ends at once. With `silently`, its connections are not closed.
+    /// Ends the process at once. With `silently`, its connections stay open without traffic.
     pub fn kill_agent(&mut self, at: usize, silently: bool) {
         if !self.agents[at].is_up() {
             return;
@@ -136,26 +137,26 @@
 
     fn end_agent(&mut self, at: usize, silently: bool) {
         let run = self.agents[at].incarnation;
-        self.end_conns(Node::Agent(at), run, silently);
+        self.end_connections(Node::Agent(at), run, silently);
         self.tasks.cancel(run);
         let host = &mut self.agents[at];
         host.agent = None;
         host.target.agent_gone(run);
     }
 
-    /// The process is asked to stop and must cut off nothing.
+    /// Starts a graceful stop, which must not abort any run.
     pub fn stop_agent(&mut self, at: usize) {
         let host = &mut self.agents[at];
-        if !host.is_up() || host.leaving {
+        if !host.is_up() || host.is_stopping {
             return;
         }
-        host.leaving = true;
+        host.is_stopping = true;
         let run = host.incarnation;
         let event = Input::Agent(Event::Leaving);
-        self.later(Duration::from_millis(1), Node::Agent(at), run, event);
+        self.deliver_after(Duration::from_millis(1), Node::Agent(at), run, event);
     }
 
-    pub fn agent_event(&mut self, at: usize, event: Event) {
+    pub fn handle_agent_event(&mut self, at: usize, event: Event) {
         let now = self.now();
         let host = &mut self.agents[at];
         let run = host.incarnation;
@@ -163,11 +164,11 @@
             return;
         };
         for action in agent.handle(now, event) {
-            self.carry_out_agent(at, run, action);
+            self.execute_agent_action(at, run, action);
         }
     }
 
-    fn carry_out_agent(&mut self, at: usize, run: Incarnation, action: Action) {
+    fn execute_agent_action(&mut self, at: usize, run: Incarnation, action: Action) {
         let node = Node::Agent(at);
         let now = self.now();
         match action {
@@ -178,78 +179,78 @@
                 if let ToEntry::Accepted { attempt } = &message
                     && self.agents[at].accepted.insert(*attempt)
                 {
-                    self.check_new_work(at);
-                    self.check_reused(at);
+                    self.check_accepted_attempt(at);
+                    self.check_withdrawn_name(at);
                 }
                 if let ToEntry::Rejected { reason, .. } = &message {
-                    self.note_rejection(*reason);
+                    self.count_rejection(*reason);
                 }
                 let index = usize::try_from(connection).unwrap_or(usize::MAX);
                 self.send_frame(index, Frame::ToEntry(message), false);
             }
             Action::Close { connection } => {
                 let index = usize::try_from(connection).unwrap_or(usize::MAX);
-                self.close_conn(index, false);
+                self.close_connection(index, false);
             }
-            Action::Datagram { to, datagram } => self.datagram(node, to, &datagram),
+            Action::Datagram { to, datagram } => self.send_datagram(node, to, &datagram),
             Action::Start {
                 run: number,
                 attempt,
                 work,
                 ..
             } => {
-                self.check_fit(at, run, attempt);
+                self.check_attempt(at, run, attempt);
                 let target = &mut self.agents[at].target;
                 let (delay, event) = target.start(now, run, number, attempt, &work);
-                self.ran(&work.body);
-                self.later(delay, node, run, Input::Agent(event));
+                self.check_run_count(&work.body);
+                self.deliver_after(delay, node, run, Input::Agent(event));
             }
             Action::Read { run: number } => {
                 if let Some((delay, event)) = self.agents[at].target.read(run, number) {
-                    self.later(delay, node, run, Input::Agent(event));
+                    self.deliver_after(delay, node, run, Input::Agent(event));
                 }
             }
-            // The engine that lost the connection has forgotten the run.
+            // The fake engine drops a run when its connection is lost.
             Action::Resume { run: number, .. } => {
                 let detail = "forgotten".to_owned();
                 let event = agent::TargetEvent::Forgotten { detail };
                 let input = Input::Agent(Event::Target { run: number, event });
-                self.later(Duration::from_millis(2), node, run, input);
+                self.deliver_after(Duration::from_millis(2), node, run, input);
             }
             Action::Abort { run: number, .. } | Action::Release { run: number } => {
                 self.agents[at].target.abort(run, number);
             }
             Action::ReadEngineState => {
-                self.after(Duration::from_millis(1), Happening::EngineState(at, run));
+                self.schedule_after(Duration::from_millis(1), SimEvent::EngineState(at, run));
             }
             Action::ReadEngineLoad => {
                 if let Some(load) = self.agents[at].target.load() {
                     let input = Input::Agent(Event::EngineLoad(load));
-                    self.later(Duration::from_millis(2), node, run, input);
+                    self.deliver_after(Duration::from_millis(2), node, run, input);
                 }
             }
             Action::ReadCacheEvents { after } => {
                 let events = self.agents[at].target.cache.read(now, after);
-                self.cache_events_read(at, run, events);
+                self.deliver_cache_events(at, run, events);
             }
             Action::PassOrder(order) => {
-                // A held-up order is a fault, and faults end before recovery is measured.
-                let slow = self.chance(200) && self.phase != Phase::Recovery;
-                let delay = if slow {
-                    self.millis(500, 7_000)
+                // A delayed order is a fault, and recovery is measured without faults.
+                let is_delayed = self.chance(200) && self.phase != Phase::Recovery;
+                let delay = if is_delayed {
+                    self.random_ms(500, 7_000)
                 } else {
-                    self.millis(1, 30)
+                    self.random_ms(1, 30)
                 };
                 let engine = self.agents[at].generation;
-                self.agents[at].orders_under_way += 1;
-                let pass = Happening::PassOrder(at, run, engine, Box::new(order));
-                self.after(delay, pass);
+                self.agents[at].orders_in_flight += 1;
+                let pass = SimEvent::PassOrder(at, run, engine, Box::new(order));
+                self.schedule_after(delay, pass);
             }
             Action::ReserveSlot { .. } => {
-                let busy = self.chance(300);
-                let wait = busy.then(|| Duration::from_millis(400));
+                let is_busy = self.chance(300);
+                let wait = is_busy.then(|| Duration::from_millis(400));
                 let input = Input::Agent(Event::Slot(Ok(wait)));
-                self.later(Duration::from_millis(2), node, run, input);
+                self.deliver_after(Duration::from_millis(2), node, run, input);
             }
             Action::Table { operation, request } => {
                 let Some(table) = self.agents[at].table.clone() else {
@@ -264,55 +265,55 @@
                         .push_back((node, run, Input::Agent(event)));
                 });
             }
-            Action::Log(event) => self.note(&format!("agent {at}: {event:?}")),
-            Action::Exit(reason) => self.agent_exits(at, reason),
+            Action::Log(event) => self.log(&format!("agent {at}: {event:?}")),
+            Action::Exit(reason) => self.handle_agent_exit(at, reason),
         }
     }
 
-    fn agent_exits(&mut self, at: usize, reason: ExitReason) {
-        self.check("8 agent stopped");
+    fn handle_agent_exit(&mut self, at: usize, reason: ExitReason) {
+        self.count_check("8 agent stopped");
         let running = self.agents[at].target.running();
         if running > 0 {
-            self.violation(format!(
+            self.record_violation(format!(
                 "invariant 8: agent {at} stops with {running} runs in service"
             ));
         }
-        self.note(&format!("agent {at} exits: {reason:?}"));
+        self.log(&format!("agent {at} exits: {reason:?}"));
         self.end_agent(at, false);
-        let delay = self.millis(500, 1_500);
-        self.after(delay, Happening::Repair(Repair::Agent(at)));
+        let delay = self.random_ms(500, 1_500);
+        self.schedule_after(delay, SimEvent::Repair(Repair::Agent(at)));
     }
 
-    /// An order reaches the engine.
+    /// Delivers an order to the engine and its outcome to the agent.
     pub fn pass_order(&mut self, at: usize, run: Incarnation, generation: u64, order: &Order) {
         let now = self.now();
         if self.agents[at].generation != generation {
             return;
         }
-        self.agents[at].orders_under_way -= 1;
+        self.agents[at].orders_in_flight -= 1;
         let outcome = self.agents[at].target.pass(now, run, order);
-        self.note(&format!(
+        self.log(&format!(
             "engine {at} gets order {} {:?}: {outcome:?}",
             order.number, order.kind
         ));
         if outcome == OrderOutcome::Taken {
-            self.check_obeyed(at, run, order);
+            self.check_executed_order(at, run, order);
         }
-        let lost = self.phase == Phase::Faults && self.chance(150);
-        let outcome = if lost {
+        let is_lost = self.phase == Phase::Faults && self.chance(150);
+        let outcome = if is_lost {
             self.count("lost answers to orders");
             OrderOutcome::Unanswered("no answer in time".to_owned())
         } else {
             outcome
         };
         let input = Input::Agent(Event::OrderPassed(outcome));
-        self.later(Duration::from_millis(1), Node::Agent(at), run, input);
+        self.deliver_after(Duration::from_millis(1), Node::Agent(at), run, input);
     }
 
     pub fn report_engine_state(&mut self, at: usize, run: Incarnation) {
         let now = self.now();
         let state = self.agents[at].target.report(now);
         let input = Input::Agent(Event::EngineState(state));
-        self.later(Duration::from_millis(1), Node::Agent(at), run, input);
+        self.deliver_after(Duration::from_millis(1), Node::Agent(at), run, input);
     }
 }
--- a/examples/soak/cache.rs
+++ b/examples/soak/cache.rs
@@ -1,4 +1,4 @@
-//! Cache events on their way to the entries, and the bound of what entries make of them.
+//! Delivery of cache events to the agents, and the limit of the entries' cache hints.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 use types::Incarnation;
 
 use crate::setup::INDEX_LIMIT;
-use crate::world::Input;
-use crate::world::Node;
-use crate::world::World;
+use crate::simulation::Input;
+use crate::simulation::Node;
+use crate::simulation::Simulation;
 
-impl World {
-    /// An agent asked for the cache events of its engine.
-    pub fn cache_events_read(&mut self, at: usize, run: Incarnation, events: Vec<CacheEvent>) {
+impl Simulation {
+    /// Delivers the cache events that an agent has read from its engine.
+    pub fn deliver_cache_events(&mut self, at: usize, run: Incarnation, events: Vec<CacheEvent>) {
         if events.is_empty() {
             return;
         }
         *self.counts.entry("cache events").or_default() += events.len() as u64;
         let input = Input::Agent(agent::Event::CacheEvents(events));
-        self.later(Duration::from_millis(2), Node::Agent(at), run, input);
+        self.deliver_after(Duration::from_millis(2), Node::Agent(at), run, input);
     }
 
-    /// Cache events, true or not, must not let an entry grow.
-    pub fn check_hints(&mut self, at: usize) {
+    /// Checks that no cache events, valid or not, grow an entry's index beyond its limit.
+    pub fn check_cache_hints(&mut self, at: usize) {
         let Some(core) = &self.entries[at].core else {
             return;
         };
         let pairs = core.cache_hints();
-        self.check("cache hints bounded");
+        self.count_check("cache hints bounded");
         if pairs > INDEX_LIMIT {
-            self.violation(format!(
+            self.record_violation(format!(
                 "entry {at} holds {pairs} cache hints, more than {INDEX_LIMIT}"
             ));
         }
--- a/examples/soak/callers.rs
+++ b/examples/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they send through a balancer, resend carelessly, read slowly, and hang up.
+//! Simulated callers: they send through a load balancer, resend, read slowly and disconnect.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,171 +12,173 @@
 use types::Submission;
 use types::Work;
 
-use crate::mix::Size;
+use crate::mix::ReadSize;
 use crate::setup::DEADLINE_MS;
 use crate::setup::MODEL_SERVICE;
 use crate::setup::PLAIN_SERVICE;
-use crate::world::Happening;
-use crate::world::Input;
-use crate::world::Node;
-use crate::world::World;
+use crate::simulation::Input;
+use crate::simulation::Node;
+use crate::simulation::SimEvent;
+use crate::simulation::Simulation;
 
-/// Mean time between two operations: 40 a second.
-const MEAN_GAP_US: f64 = 25_000.0;
-/// A caller gives up this long after the deadline.
-const PATIENCE_MS: Duration = Duration::from_secs(3);
-/// Orders in thousand whose answer does not fit into a claim row.
-const LARGE_PERMILLE: u32 = 200;
-/// Resends of one operation.
-const RESENDS: u32 = 4;
-/// The balancer stops sending to an entry that has not answered it for this long.
+/// Mean time between new operations (40 per second).
+const MEAN_INTERARRIVAL_US: f64 = 25_000.0;
+/// How long after the deadline a caller still waits for the final reply.
+const REPLY_GRACE_MS: Duration = Duration::from_secs(3);
+/// Share of orders whose answer is too large for a claim row.
+const LARGE_ORDER_PERMILLE: u32 = 200;
+/// Maximum resends of an operation that has no answer yet.
+const RESEND_LIMIT: u32 = 4;
+/// The load balancer skips an entry that has not answered health checks for this long.
 const HEALTH_MS: Duration = Duration::from_secs(1);
 
-/// What an operation is.
+/// Kind of an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Idempotent work for an engine.
+    /// Idempotent request to the model service.
     Read,
-    /// Work that must not be repeated, with a key.
+    /// Non-idempotent request to the plain service, with an idempotency key.
     Order,
-    /// Work that must not be repeated, without a key.
+    /// Non-idempotent request to the plain service, without a key; never resent.
     Keyless,
 }
 
-/// Something that a caller wants done.
-pub struct Op {
+/// Unit of work of a caller; it may take several requests.
+pub struct Operation {
     pub kind: Kind,
     pub body: Vec<u8>,
-    pub first: Instant,
+    pub started: Instant,
     pub answered: Option<Instant>,
-    pub size: Size,
+    pub size: ReadSize,
     resends_left: u32,
-    /// Times that it was sent again after its answer.
-    pub again: u32,
+    /// Number of requests sent after the answer had been received.
+    pub answered_resends: u32,
 }
 
 /// One request sent for an operation.
-pub struct Sub {
-    pub op: usize,
+pub struct SentRequest {
+    pub operation: usize,
     pub entry: usize,
     pub run: Incarnation,
-    pub sent: Instant,
-    pub finals: u32,
-    /// The caller's connection is gone, so no final reply is due.
-    pub excused: bool,
-    pub head: bool,
+    pub sent_at: Instant,
+    pub final_replies: u32,
+    /// The caller's connection has ended, so no final reply is expected.
+    pub is_closed: bool,
+    pub has_head: bool,
     pub received: Vec<u8>,
 }
 
-/// What callers do, and what reaches them.
+/// Action of a caller, or a reply that reaches it.
 #[derive(Debug)]
 pub enum CallerEvent {
-    Arrive,
+    NewOperation,
     Send(usize),
-    /// Send again what was answered.
-    Again(usize),
+    /// Resend an operation that has been answered.
+    ResendAnswered(usize),
     Reply(RequestId, Reply),
     Consume(RequestId, u64),
     HangUp(RequestId),
-    GiveUp(RequestId),
+    TimeOut(RequestId),
 }
 
-impl World {
-    pub fn offer_load(&mut self) {
-        let share: f64 = self.random.random_range(0.000_1..1.0);
-        let gap = Duration::from_secs_f64(-share.ln() * MEAN_GAP_US / 1e6);
-        self.after(gap, Happening::Caller(CallerEvent::Arrive));
+impl Simulation {
+    pub fn schedule_next_operation(&mut self) {
+        let fraction: f64 = self.random.random_range(0.000_1..1.0);
+        let delay = Duration::from_secs_f64(-fraction.ln() * MEAN_INTERARRIVAL_US / 1e6);
+        self.schedule_after(delay, SimEvent::Caller(CallerEvent::NewOperation));
     }
 
-    pub fn caller(&mut self, event: CallerEvent) {
+    pub fn handle_caller_event(&mut self, event: CallerEvent) {
         match event {
-            CallerEvent::Arrive => self.arrive(),
-            CallerEvent::Send(op) => self.send(op),
-            CallerEvent::Again(op) => {
-                self.submit(op);
+            CallerEvent::NewOperation => self.start_operation(),
+            CallerEvent::Send(operation) => self.send(operation),
+            CallerEvent::ResendAnswered(operation) => {
+                self.submit(operation);
             }
-            CallerEvent::Reply(request, reply) => self.reply(request, reply),
+            CallerEvent::Reply(request, reply) => self.handle_reply(request, reply),
             CallerEvent::Consume(request, bytes) => {
-                self.tell_entry(request, Event::Consumed { request, bytes });
+                self.deliver_to_entry(request, Event::Consumed { request, bytes });
             }
             CallerEvent::HangUp(request) => self.hang_up(request),
-            CallerEvent::GiveUp(request) => self.give_up(request),
+            CallerEvent::TimeOut(request) => self.time_out(request),
         }
     }
 
-    fn arrive(&mut self) {
-        if !self.offering {
+    fn start_operation(&mut self) {
+        if !self.is_generating_load {
             return;
         }
-        self.offer_load();
-        let number = self.ops.len();
+        self.schedule_next_operation();
+        let number = self.operations.len();
         let kind = match self.random.random_range(0..100) {
             0..70 => Kind::Read,
             70..95 => Kind::Order,
             _ => Kind::Keyless,
         };
         let size = self.read_size(number);
-        let is_large = kind == Kind::Order && self.chance(LARGE_PERMILLE);
+        let is_large = kind == Kind::Order && self.chance(LARGE_ORDER_PERMILLE);
         let large = if is_large { " large" } else { "" };
-        let op = Op {
+        let operation = Operation {
             kind,
             body: format!("{kind:?}{large} {number}").into_bytes(),
-            first: self.now(),
+            started: self.now(),
             answered: None,
             size,
-            resends_left: RESENDS,
-            again: 0,
+            resends_left: RESEND_LIMIT,
+            answered_resends: 0,
         };
-        self.ops.push(op);
+        self.operations.push(operation);
         self.send(number);
-        // Careless scripts send the same request again without waiting for its end.
+        // Some clients send a duplicate without waiting for the first request to end.
         if kind == Kind::Order && self.chance(100) {
             self.count("sent to two entries at once");
             self.send(number);
         }
         if kind == Kind::Order && self.chance(50) {
-            let delay = self.millis(50, 1_500);
-            self.after(delay, Happening::Caller(CallerEvent::Send(number)));
+            let delay = self.random_ms(50, 1_500);
+            self.schedule_after(delay, SimEvent::Caller(CallerEvent::Send(number)));
         }
     }
 
-    /// Entry that the balancer chooses.
-    fn balance(&mut self) -> Option<usize> {
+    /// Entry chosen by the load balancer; `None` if none is healthy.
+    fn choose_entry(&mut self) -> Option<usize> {
         let now = self.now();
         let healthy: Vec<usize> = (0..self.entries.len())
             .filter(|at| {
                 let host = &self.entries[*at];
-                let stuck = host
+                let is_stuck = host
                     .inbox
                     .front()
-                    .is_some_and(|_| host.is_paused(now) && now >= host.undisturbed + HEALTH_MS);
-                host.is_up() && host.staying && !stuck
+                    .is_some_and(|_| host.is_paused(now) && now >= host.stable_since + HEALTH_MS);
+                host.is_up() && host.is_in_rotation && !is_stuck
             })
             .collect();
         if healthy.is_empty() {
             return None;
         }
-        let pick = self.random.random_range(0..healthy.len());
-        Some(healthy[pick])
+        let index = self.random.random_range(0..healthy.len());
+        Some(healthy[index])
     }
 
-    fn send(&mut self, op: usize) {
+    fn send(&mut self, operation: usize) {
         let now = self.now();
-        if self.ops[op].answered.is_some() || now >= self.ops[op].first + 2 * DEADLINE_MS {
+        if self.operations[operation].answered.is_some()
+            || now >= self.operations[operation].started + 2 * DEADLINE_MS
+        {
             return;
         }
-        if !self.submit(op) {
-            self.after(
+        if !self.submit(operation) {
+            self.schedule_after(
                 Duration::from_millis(200),
-                Happening::Caller(CallerEvent::Send(op)),
+                SimEvent::Caller(CallerEvent::Send(operation)),
             );
         }
     }
 
-    /// Sends a request for an operation. Returns whether an entry takes requests.
-    fn submit(&mut self, op: usize) -> bool {
+    /// Sends a request for an operation. Returns false if no entry is healthy.
+    fn submit(&mut self, operation: usize) -> bool {
         let now = self.now();
-        let Some(at) = self.balance() else {
+        let Some(at) = self.choose_entry() else {
             return false;
         };
         let Some(core) = &mut self.entries[at].core else {
@@ -184,17 +186,17 @@
         };
         let request = core.new_request();
         let run = core.incarnation();
-        let submission = submission(&self.ops[op], op);
-        self.subs.insert(
+        let submission = submission(&self.operations[operation], operation);
+        self.sent_requests.insert(
             request,
-            Sub {
-                op,
+            SentRequest {
+                operation,
                 entry: at,
                 run,
-                sent: now,
-                finals: 0,
-                excused: false,
-                head: false,
+                sent_at: now,
+                final_replies: 0,
+                is_closed: false,
+                has_head: false,
                 received: Vec::new(),
             },
         );
@@ -203,53 +205,53 @@
             request,
             submission,
         };
-        self.later(
+        self.deliver_after(
             Duration::from_millis(1),
             Node::Entry(at),
             run,
             Input::Entry(event),
         );
-        let give_up = Happening::Caller(CallerEvent::GiveUp(request));
-        self.after(DEADLINE_MS + PATIENCE_MS, give_up);
+        let time_out = SimEvent::Caller(CallerEvent::TimeOut(request));
+        self.schedule_after(DEADLINE_MS + REPLY_GRACE_MS, time_out);
         if self.chance(20) {
-            let delay = self.millis(5, 1_000);
-            self.after(delay, Happening::Caller(CallerEvent::HangUp(request)));
+            let delay = self.random_ms(5, 1_000);
+            self.schedule_after(delay, SimEvent::Caller(CallerEvent::HangUp(request)));
         }
         true
     }
 
-    fn tell_entry(&mut self, request: RequestId, event: Event) {
-        if let Some(sub) = self.subs.get(&request) {
-            let (node, run) = (Node::Entry(sub.entry), sub.run);
+    fn deliver_to_entry(&mut self, request: RequestId, event: Event) {
+        if let Some(sent) = self.sent_requests.get(&request) {
+            let (node, run) = (Node::Entry(sent.entry), sent.run);
             self.deliver(node, run, Input::Entry(event));
         }
     }
 
     fn hang_up(&mut self, request: RequestId) {
-        let Some(sub) = self.subs.get_mut(&request) else {
+        let Some(sent) = self.sent_requests.get_mut(&request) else {
             return;
         };
-        if sub.finals > 0 || sub.excused {
+        if sent.final_replies > 0 || sent.is_closed {
             return;
         }
-        sub.excused = true;
-        let op = sub.op;
+        sent.is_closed = true;
+        let operation = sent.operation;
         self.count("hang-ups");
-        self.tell_entry(request, Event::CallerGone { request });
-        self.resend(op, Duration::ZERO);
+        self.deliver_to_entry(request, Event::CallerGone { request });
+        self.resend(operation, Duration::ZERO);
     }
 
-    fn give_up(&mut self, request: RequestId) {
-        let Some(sub) = self.subs.get(&request) else {
+    fn time_out(&mut self, request: RequestId) {
+        let Some(sent) = self.sent_requests.get(&request) else {
             return;
         };
-        if sub.finals > 0 || sub.excused {
+        if sent.final_replies > 0 || sent.is_closed {
             return;
         }
-        let host = &self.entries[sub.entry];
-        if host.is_run(sub.run) && host.undisturbed <= sub.sent {
-            let (entry, body) = (sub.entry, self.ops[sub.op].body.clone());
-            self.violation(format!(
+        let host = &self.entries[sent.entry];
+        if host.is_run(sent.run) && host.stable_since <= sent.sent_at {
+            let (entry, body) = (sent.entry, self.operations[sent.operation].body.clone());
+            self.record_violation(format!(
                 "request {request:x} ({}) at entry {entry} got no final reply by its deadline",
                 String::from_utf8_lossy(&body)
             ));
@@ -257,40 +259,40 @@
         self.hang_up(request);
     }
 
-    /// Sends an operation again after a while, if it may be.
-    pub fn resend(&mut self, op: usize, wait: Duration) {
-        let state = &mut self.ops[op];
+    /// Schedules a resend, unless the operation is keyless, answered or has used up its resends.
+    pub fn resend(&mut self, operation: usize, wait: Duration) {
+        let state = &mut self.operations[operation];
         if state.kind == Kind::Keyless || state.resends_left == 0 || state.answered.is_some() {
             return;
         }
         state.resends_left -= 1;
-        let delay = wait + self.millis(20, 400);
-        self.after(delay, Happening::Caller(CallerEvent::Send(op)));
+        let delay = wait + self.random_ms(20, 400);
+        self.schedule_after(delay, SimEvent::Caller(CallerEvent::Send(operation)));
     }
 
-    /// An entry was killed; its callers see their connections break.
-    pub fn entry_lost(&mut self, at: usize, run: Incarnation) {
+    /// Disconnects the callers of a killed entry; they resend their operations.
+    pub fn disconnect_callers(&mut self, at: usize, run: Incarnation) {
         let mut lost: Vec<(RequestId, usize)> = Vec::new();
-        for (request, sub) in &mut self.subs {
-            if sub.entry == at && sub.run == run && sub.finals == 0 && !sub.excused {
-                sub.excused = true;
-                lost.push((*request, sub.op));
+        for (request, sent) in &mut self.sent_requests {
+            if sent.entry == at && sent.run == run && sent.final_replies == 0 && !sent.is_closed {
+                sent.is_closed = true;
+                lost.push((*request, sent.operation));
             }
         }
         lost.sort_unstable();
-        for (_, op) in lost {
+        for (_, operation) in lost {
             self.count("resends after a lost entry");
-            self.resend(op, Duration::ZERO);
+            self.resend(operation, Duration::ZERO);
         }
     }
 
-    /// Callers that wait at one run of an entry.
-    pub fn open_at(&self, at: usize, run: Incarnation) -> usize {
-        self.subs
+    /// Number of callers that wait for a final reply from one run of an entry.
+    pub fn waiting_callers(&self, at: usize, run: Incarnation) -> usize {
+        self.sent_requests
             .values()
-            .filter(|sub| sub.entry == at && sub.run == run && sub.finals == 0 && !sub.excused)
-            // A final reply may be on its way.
-            .filter(|sub| sub.sent + Duration::from_millis(5) < self.now())
+            .filter(|r| r.entry == at && r.run == run && r.final_replies == 0 && !r.is_closed)
+            // The final reply of a recent request may still be in transit.
+            .filter(|sent| sent.sent_at + Duration::from_millis(5) < self.now())
             .filter(|_| {
                 self.entries[at]
                     .core
@@ -301,8 +303,8 @@
     }
 }
 
-fn submission(op: &Op, number: usize) -> Submission {
-    let is_read = op.kind == Kind::Read;
+fn submission(operation: &Operation, number: usize) -> Submission {
+    let is_read = operation.kind == Kind::Read;
     let mut work = Work {
         service: if is_read {
             MODEL_SERVICE
@@ -314,18 +316,18 @@
         path: "/v1/work".to_owned(),
         content_type: "text/plain".to_owned(),
         headers: types::Headers::default(),
-        body: op.body.clone(),
+        body: operation.body.clone(),
         stream: is_read,
         model: String::new(),
         prompt_tokens: 0,
         max_output_tokens: 0,
         prefixes: Vec::new(),
     };
-    op.size.apply(&mut work);
+    operation.size.apply(&mut work);
     Submission {
         caller: "refugio-laguna".to_owned(),
         work,
-        key: (op.kind == Kind::Order).then(|| format!("key-{number}")),
+        key: (operation.kind == Kind::Order).then(|| format!("key-{number}")),
         deadline_ms: None,
     }
 }
--- a/examples/soak/checks.rs
+++ b/examples/soak/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of the invariants, and the summary of a run.
+//! Invariant checks and the JSON summary of a run.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -12,42 +12,42 @@
 
 use crate::callers::Kind;
 use crate::setup::DEADLINE_MS;
-use crate::world::World;
+use crate::simulation::Simulation;
 
-/// Invariant 7: new work ends this long after a target begins to leave.
-const LEAVING_MS: Duration = Duration::from_secs(5);
-/// Invariant 9: a change is in force everywhere within this time.
-const IN_FORCE_MS: Duration = Duration::from_secs(4);
-/// Time after a fault of the table or of a process in which neither of the two is promised:
-/// the longest pause between two tries of a call.
-const AFTERMATH_MS: Duration = Duration::from_secs(3);
-/// Operations younger than their deadline may still be answered.
-const UNDER_WAY_MS: Duration = DEADLINE_MS;
-/// Share of the goodput before the faults that must be reached again.
+/// Invariant 7: a leaving target accepts no new work after this time.
+const NEW_WORK_LIMIT_MS: Duration = Duration::from_secs(5);
+/// Invariant 9: every entry applies a configuration change within this time.
+const APPLY_LIMIT_MS: Duration = Duration::from_secs(4);
+/// Time after a table or process fault during which neither limit applies: the longest pause
+/// between two attempts of a table call.
+const RETRY_PAUSE_MS: Duration = Duration::from_secs(3);
+/// Operations younger than this may still be answered and are left out of the goodput.
+const PENDING_MS: Duration = DEADLINE_MS;
+/// Minimum goodput after the faults, as a share of the goodput before them.
 const RECOVERED_SHARE: f64 = 0.95;
-/// Bound of attempts per request.
-const ATTEMPTS_LIMIT: f64 = 1.2;
+/// Upper limit of the mean attempts per request.
+const ATTEMPTS_PER_REQUEST_LIMIT: f64 = 1.2;
 
-/// Share of operations that were answered in time, without faults and after them.
+/// Share of operations that were answered in time, before the faults and after them.
 pub struct Goodput {
     pub before: f64,
     pub after: f64,
 }
 
-impl World {
-    /// Share of the operations of the last `window` that were answered in time. Those that may
-    /// still be answered are left out.
+impl Simulation {
+    /// Share of the operations started within the last `window` that were answered in time.
+    /// Operations whose deadline has not passed are left out.
     pub fn goodput(&self, window: Duration) -> f64 {
         let now = self.now();
-        let ops = self.ops.iter().filter(|op| {
-            let age = now.saturating_duration_since(op.first);
-            (UNDER_WAY_MS..=window).contains(&age)
+        let operations = self.operations.iter().filter(|operation| {
+            let age = now.saturating_duration_since(operation.started);
+            (PENDING_MS..=window).contains(&age)
         });
         let (mut all, mut answered) = (0_u32, 0_u32);
-        for op in ops {
+        for operation in operations {
             all += 1;
-            let in_time = |at| at <= op.first + DEADLINE_MS;
-            answered += u32::from(op.answered.is_some_and(in_time));
+            let in_time = |at| at <= operation.started + DEADLINE_MS;
+            answered += u32::from(operation.answered.is_some_and(in_time));
         }
         f64::from(answered) / f64::from(all.max(1))
     }
@@ -56,22 +56,22 @@
         let now = self.now();
         let faults = self.table.faults();
         if faults.outage || faults.lost_permille > 0 {
-            self.table_disturbed = now;
+            self.last_table_fault = now;
         }
         let found: Vec<String> = self
             .ledger
             .borrow_mut()
             .violations
             .drain(..)
-            .chain(self.facts.borrow_mut().violations.drain(..))
+            .chain(self.commits.borrow_mut().violations.drain(..))
             .chain(self.objects.take_violations())
             .collect();
         for violation in found {
-            self.violation(violation);
+            self.record_violation(violation);
         }
         for at in 0..self.entries.len() {
             self.check_revision(at);
-            self.check_hints(at);
+            self.check_cache_hints(at);
         }
     }
 
@@ -83,61 +83,66 @@
         };
         let revision = core.snapshot().map_or(0, |snapshot| snapshot.revision());
         let before = host.revision;
-        let calm = host.undisturbed.max(self.table_disturbed) + AFTERMATH_MS;
+        let stable_since = host.stable_since.max(self.last_table_fault) + RETRY_PAUSE_MS;
         self.entries[at].revision = revision;
-        self.check("9 never reverts");
+        self.count_check("9 never reverts");
         if revision < before {
-            self.violation(format!(
-                "invariant 9: entry {at} goes back from revision {before} to {revision}"
+            self.record_violation(format!(
+                "invariant 9: entry {at} reverts from revision {before} to {revision}"
             ));
         }
-        if now < calm + IN_FORCE_MS {
+        if now < stable_since + APPLY_LIMIT_MS {
             return;
         }
-        self.check("9 in force");
-        let accepted = self.facts.borrow().revision_aged(now, IN_FORCE_MS);
+        self.count_check("9 in force");
+        let accepted = self
+            .commits
+            .borrow()
+            .latest_revision_older_than(now, APPLY_LIMIT_MS);
         if revision < accepted {
-            self.violation(format!(
-                "invariant 9: entry {at} has revision {revision}, {accepted} is 4 s old"
+            self.record_violation(format!(
+                "invariant 9: entry {at} has revision {revision}; {accepted} was committed 4 s ago"
             ));
         }
     }
 
-    /// An agent accepts an attempt that it has not seen before.
-    pub fn check_new_work(&mut self, at: usize) {
+    /// Checks invariant 7 when an agent accepts an attempt for the first time.
+    pub fn check_accepted_attempt(&mut self, at: usize) {
         let now = self.now();
         let host = &self.agents[at];
-        let calm = host.undisturbed.max(self.table_disturbed) + AFTERMATH_MS;
-        let ordered = self.facts.borrow().leaving.get(&host.name).copied();
-        let entries_calm = self
+        let stable_since = host.stable_since.max(self.last_table_fault) + RETRY_PAUSE_MS;
+        let ordered = self.commits.borrow().leaving.get(&host.name).copied();
+        let entries_stable_since = self
             .entries
             .iter()
             .filter(|entry| entry.is_up())
-            .map(|entry| entry.undisturbed + AFTERMATH_MS)
+            .map(|entry| entry.stable_since + RETRY_PAUSE_MS)
             .max()
             .unwrap_or(now);
-        let listed = host.listed_leaving.map(|since| since.max(entries_calm));
-        self.check("7 no new work");
-        let ordered = ordered.map(|since| since.max(calm));
+        let listed = host
+            .listed_leaving_since
+            .map(|since| since.max(entries_stable_since));
+        self.count_check("7 no new work");
+        let ordered = ordered.map(|since| since.max(stable_since));
         let since = [ordered, listed].into_iter().flatten().min();
-        if let Some(since) = since.filter(|since| now > *since + LEAVING_MS) {
+        if let Some(since) = since.filter(|since| now > *since + NEW_WORK_LIMIT_MS) {
             let late = now - since;
-            self.violation(format!(
+            self.record_violation(format!(
                 "invariant 7: target {at} has been leaving for {late:?} and accepts new work"
             ));
         }
     }
 
-    /// An engine has obeyed an order.
-    pub fn check_obeyed(&mut self, at: usize, run: Incarnation, order: &Order) {
-        self.check("1 orders in sequence");
-        self.check("2 nothing in service");
-        self.check("3 authority");
+    /// Checks that an order executed by an engine was committed and came from the latest agent run.
+    pub fn check_executed_order(&mut self, at: usize, run: Incarnation, order: &Order) {
+        self.count_check("1 orders in sequence");
+        self.count_check("2 nothing in service");
+        self.count_check("3 authority");
         let key = (order.target.clone(), order.number);
-        let accepted = self.facts.borrow().orders.get(&key).cloned();
+        let accepted = self.commits.borrow().orders.get(&key).cloned();
         if accepted.is_none_or(|accepted| accepted.fencing != order.fencing) {
-            self.violation(format!(
-                "invariant 3: engine {at} obeys order {} with fencing {}, which was not accepted",
+            self.record_violation(format!(
+                "invariant 3: engine {at} executes uncommitted order {} with fencing {}",
                 order.number, order.fencing
             ));
         }
@@ -152,28 +157,28 @@
         let first = runs.iter().position(|known| *known == run);
         let is_old = first.is_some_and(|first| runs[first..].iter().any(|known| *known != run));
         if is_old {
-            self.violation(format!(
-                "invariant 3: engine {at} obeys agent {run:x} after a later one"
+            self.record_violation(format!(
+                "invariant 3: engine {at} executes an order of agent run {run:x} after a later run"
             ));
         }
     }
 
-    /// Checks what must hold when everything has come to rest.
-    pub fn finish(&mut self, goodput: &Goodput) {
-        self.check_ends();
+    /// Checks that hold once all requests have ended.
+    pub fn check_final_state(&mut self, goodput: &Goodput) {
+        self.check_final_replies();
         self.check_not_run();
         self.check_objects();
-        self.check("recovery");
+        self.count_check("recovery");
         if goodput.after < RECOVERED_SHARE * goodput.before {
-            self.violation(format!(
+            self.record_violation(format!(
                 "goodput was {:.3} before the faults and is {:.3} after them",
                 goodput.before, goodput.after
             ));
         }
-        self.check("attempts");
-        let attempts = self.attempts();
-        if attempts >= ATTEMPTS_LIMIT {
-            self.violation(format!("{attempts:.3} attempts per request"));
+        self.count_check("attempts");
+        let attempts = self.attempts_per_request();
+        if attempts >= ATTEMPTS_PER_REQUEST_LIMIT {
+            self.record_violation(format!("{attempts:.3} attempts per request"));
         }
         for at in 0..self.entries.len() {
             let open = self.entries[at]
@@ -181,45 +186,51 @@
                 .as_ref()
                 .map_or(0, EntryCore::in_flight);
             if open > 0 {
-                self.violation(format!("entry {at} still holds {open} requests at rest"));
+                self.record_violation(format!(
+                    "entry {at} holds {open} requests at the end of the run"
+                ));
             }
         }
     }
 
-    fn check_ends(&mut self) {
+    fn check_final_replies(&mut self) {
         let open: Vec<String> = self
-            .subs
+            .sent_requests
             .iter()
-            .filter(|(_, sub)| sub.finals != 1 && !sub.excused)
-            .map(|(request, sub)| {
-                let body = String::from_utf8_lossy(&self.ops[sub.op].body);
+            .filter(|(_, sent)| sent.final_replies != 1 && !sent.is_closed)
+            .map(|(request, sent)| {
+                let body = String::from_utf8_lossy(&self.operations[sent.operation].body);
                 format!(
                     "{request:x} ({body}) ended with {} final replies",
-                    sub.finals
+                    sent.final_replies
                 )
             })
             .collect();
-        self.check("one final reply");
+        self.count_check("one final reply");
         for violation in open {
-            self.violation(violation);
+            self.record_violation(violation);
         }
     }
 
     fn check_not_run(&mut self) {
-        for request in std::mem::take(&mut self.not_run) {
-            self.check("5 not run, at the end");
+        for request in std::mem::take(&mut self.refused_not_run) {
+            self.count_check("5 not run, at the end");
             if self.ledger.borrow().ran.contains_key(&request) {
-                self.violation(format!(
+                self.record_violation(format!(
                     "invariant 5: {request:x} was run after its refusal"
                 ));
             }
         }
     }
 
-    fn attempts(&self) -> f64 {
+    fn attempts_per_request(&self) -> f64 {
         let count = |name: &str| self.counts.get(name).copied().unwrap_or_default();
-        // Requests that were refused without an attempt would hide retries of the others.
-        let tried: HashSet<RequestId> = self.sent.keys().map(|attempt| attempt.request).collect();
+        // Requests refused without an attempt are left out; they would mask the retries of others.
+        let tried: HashSet<RequestId> = self
+            .dispatches
+            .keys()
+            .map(|attempt| attempt.request)
+            .collect();
         let thousandths = count("dispatches") * 1_000 / (tried.len() as u64).max(1);
         f64::from(u32::try_from(thousandths).unwrap_or(u32::MAX)) / 1_000.0
     }
@@ -227,15 +238,20 @@
     pub fn summary(&self, seed: u64, steps: u32, goodput: &Goodput) -> serde_json::Value {
         let unknown_orders = self.counts.get("refused: outcome unknown");
         let kinds = [Kind::Read, Kind::Order, Kind::Keyless].map(|kind| {
-            let of_kind = self.ops.iter().filter(|op| op.kind == kind);
-            let answered = of_kind.clone().filter(|op| op.answered.is_some());
+            let of_kind = self
+                .operations
+                .iter()
+                .filter(|operation| operation.kind == kind);
+            let answered = of_kind
+                .clone()
+                .filter(|operation| operation.answered.is_some());
             json!({
                 "kind": format!("{kind:?}"),
                 "operations": of_kind.count(),
                 "answered": answered.count(),
             })
         });
-        let facts = self.facts.borrow();
+        let commits = self.commits.borrow();
         json!({
             "seed": seed,
             "steps": steps,
@@ -247,23 +263,23 @@
             "unknown": unknown_orders,
             "goodput_before": goodput.before,
             "goodput_after": goodput.after,
-            "attempts_per_request": self.attempts(),
-            "revisions": facts.revisions.len(),
-            "orders_accepted": facts.order_checks,
+            "attempts_per_request": self.attempts_per_request(),
+            "revisions": commits.revisions.len(),
+            "orders_accepted": commits.checked_orders,
             "orders_obeyed": self.ledger.borrow().obeyed.len(),
             "orders_fenced": self.ledger.borrow().fenced,
             "objects_left": self.objects.keys().len(),
             "claims_left": self.table.count(CLAIM_PREFIX),
             "role_changes": {
                 "asked": self.counts.get("planned orders"),
-                "ordered": facts.roles.planned.len(),
+                "ordered": commits.roles.planned.len(),
                 "executed": self.role_changes_executed(),
-                "checked_for_last_of_class": facts.roles.checked,
+                "checked_for_last_of_class": commits.roles.checked,
             },
-            "withdrawn_rows_checked": facts.withdrawn_checks,
+            "withdrawn_rows_checked": commits.checked_withdrawn_rows,
             "conflicting_orders": self.conflicting_orders(),
-            "planned_orders_accepted": facts.planned_checks,
-            "commands_done": facts.commands_done,
+            "planned_orders_accepted": commits.checked_planned_orders,
+            "commands_done": commits.succeeded_commands,
         })
     }
 }
--- a/examples/soak/facts.rs
+++ b/examples/soak/commits.rs
@@ -1,4 +1,4 @@
-//! What the table accepted, noted at the moment of each commit.
+//! Records each committed table transaction and checks its invariants.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -24,70 +24,70 @@
 
 use crate::roles::RoleChanges;
 
-/// Facts about committed transactions.
+/// State derived from the committed transactions.
 #[derive(Default)]
-pub struct Facts {
-    /// Accepted revisions and when.
+pub struct CommitObserver {
+    /// Committed revisions, with the time of each commit.
     pub revisions: Vec<(Instant, u64)>,
-    /// Accepted orders by target and number.
+    /// Committed orders, by target and order number.
     pub orders: HashMap<(TargetName, u64), Order>,
-    /// Lease at the moment of each order.
+    /// Lease row at the commit of each order.
     order_leases: HashMap<(TargetName, u64), LeaseRow>,
-    /// Role changes that planners ordered.
+    /// Role changes ordered by the planner.
     pub roles: RoleChanges,
-    /// Planned orders that were accepted and checked.
-    pub planned_checks: u64,
-    /// Since when targets take no new work.
+    /// Number of planned orders whose lease was checked.
+    pub checked_planned_orders: u64,
+    /// Targets that accept no new work, and since when.
     pub leaving: BTreeMap<TargetName, Instant>,
     hosts: BTreeMap<TargetName, HostName>,
-    /// Runs that held a target when it was withdrawn; 0 after it was given back.
+    /// Agent run that held each withdrawn target; 0 once the run has released it.
     withdrawn: BTreeMap<TargetName, Incarnation>,
-    /// Rows of withdrawn targets that were written and checked.
-    pub withdrawn_checks: u64,
-    /// Orders accepted and checked.
-    pub order_checks: u64,
-    /// Commands of operators that were carried out.
-    pub commands_done: u64,
-    /// Orders and leases that should not have been accepted.
+    /// Number of checked writes to rows of withdrawn targets.
+    pub checked_withdrawn_rows: u64,
+    /// Number of committed orders that were checked.
+    pub checked_orders: u64,
+    /// Number of operator commands that succeeded.
+    pub succeeded_commands: u64,
+    /// Violations found in committed transactions.
     pub violations: Vec<String>,
     leases: HashMap<String, LeaseRow>,
 }
 
-impl Facts {
-    /// Takes note of a transaction; `rows` are those after it.
-    pub fn committed(&mut self, now: Instant, rows: &Rows, transaction: &Transaction) {
+impl CommitObserver {
+    /// Records a committed transaction; `rows` is the table after the commit.
+    pub fn record_commit(&mut self, now: Instant, rows: &Rows, transaction: &Transaction) {
         for put in &transaction.puts {
             let Some(value) = &put.value else {
                 continue;
             };
             if put.key == keys::HEAD {
                 if let Ok(head) = serde_json::from_str::<Head>(value) {
-                    self.revision(now, head.revision);
+                    self.check_revision(now, head.revision);
                 }
             } else if put.key.starts_with(keys::ORDER) {
                 if let Ok(order) = serde_json::from_str::<Order>(value) {
-                    self.order(now, rows, order);
+                    self.check_order(now, rows, order);
                 }
             } else if put.key.starts_with(keys::TARGET) {
                 if let Ok(target) = serde_json::from_str::<Versioned<Target>>(value) {
-                    self.target(now, &target.value);
+                    self.record_target(now, &target.value);
                 }
             } else if put.key.starts_with(keys::LOG) {
                 if let Ok(change) = serde_json::from_str::<Change>(value) {
-                    let fault = self.roles.change(now, rows, &change);
-                    self.violations.extend(fault);
+                    let violation = self.roles.check_change(now, rows, &change);
+                    self.violations.extend(violation);
                 }
             } else if put.key.starts_with(keys::LEASE)
                 && let Ok(lease) = serde_json::from_str::<LeaseRow>(value)
             {
-                self.lease(&put.key, lease);
+                self.check_lease(&put.key, lease);
             }
         }
     }
 
-    /// A planner's order was accepted; it must have held the lease at that moment.
-    pub fn planned(&mut self, change: &Change, held: &HeldLease) {
-        self.planned_checks += 1;
+    /// Checks that the planner held the lease when its order was committed.
+    pub fn check_planned_order(&mut self, change: &Change, held: &HeldLease) {
+        self.checked_planned_orders += 1;
         let ChangeBody::Order { after, .. } = &change.body else {
             return;
         };
@@ -97,23 +97,24 @@
             lease.is_some_and(|lease| lease.holder == held.holder && lease.fencing == held.fencing);
         if !is_holder {
             self.violations.push(format!(
-                "invariant 3: order {} to {} was accepted from {held:?} while the lease was \
+                "invariant 3: order {} to {} was committed by {held:?} while the lease was \
                  {lease:?}",
                 after.number, after.target
             ));
         }
     }
 
-    fn revision(&mut self, now: Instant, revision: u64) {
+    fn check_revision(&mut self, now: Instant, revision: u64) {
         let last = self.revisions.last().map_or(0, |(_, last)| *last);
         if revision != last + 1 {
-            self.violations
-                .push(format!("invariant 9: revision {revision} after {last}"));
+            self.violations.push(format!(
+                "invariant 9: revision {revision} committed after {last}"
+            ));
         }
         self.revisions.push((now, revision));
     }
 
-    fn lease(&mut self, key: &str, lease: LeaseRow) {
+    fn check_lease(&mut self, key: &str, lease: LeaseRow) {
         let before = self.leases.insert(key.to_owned(), lease);
         let Some(before) = before else {
             return;
@@ -121,13 +122,13 @@
         let is_new_holder = lease.holder != before.holder && lease.holder != 0;
         if lease.fencing < before.fencing || (is_new_holder && lease.fencing <= before.fencing) {
             self.violations.push(format!(
-                "invariant 3: {key} goes from {before:?} to {lease:?}"
+                "invariant 3: {key} changed from {before:?} to {lease:?} without a higher fencing"
             ));
         }
     }
 
-    fn order(&mut self, now: Instant, rows: &Rows, order: Order) {
-        self.order_checks += 1;
+    fn check_order(&mut self, now: Instant, rows: &Rows, order: Order) {
+        self.checked_orders += 1;
         let target: Option<Versioned<Target>> = rows
             .get(&keys::target(&order.target))
             .and_then(|row| serde_json::from_str(&row.value).ok());
@@ -138,7 +139,7 @@
         let fencing = lease.map_or(0, |lease| lease.fencing);
         if order.fencing != fencing {
             self.violations.push(format!(
-                "invariant 3: order {} to {} was accepted with fencing {} while the lease has \
+                "invariant 3: order {} to {} was committed with fencing {} while the lease has \
                  {fencing}",
                 order.number, order.target, order.fencing
             ));
@@ -149,18 +150,18 @@
             .filter(|(target, _)| *target == order.target)
             .map(|(_, number)| *number)
             .max();
-        // Nothing here supersedes an order, so the one before has been executed.
+        // The simulation never supersedes orders, so the previous one must have been executed.
         let applied = target.as_ref().map_or(0, |target| target.value.applied);
         if last.is_some_and(|last| last > applied) {
             self.violations.push(format!(
-                "invariant 1: order {} to {} was accepted while order {last:?} was outstanding, \
+                "invariant 1: order {} to {} was committed while order {last:?} was pending, \
                  the target has executed {applied}",
                 order.number, order.target
             ));
         }
         if last.is_some_and(|last| order.number <= last) {
             self.violations.push(format!(
-                "invariant 1: order {} to {} was accepted after order {last:?}",
+                "invariant 1: order {} to {} was committed after order {last:?}",
                 order.number, order.target
             ));
         }
@@ -176,41 +177,41 @@
         self.orders.insert(key, order);
     }
 
-    fn target(&mut self, now: Instant, target: &Target) {
-        self.roles.target(now, target);
+    fn record_target(&mut self, now: Instant, target: &Target) {
+        self.roles.record_target(now, target);
         self.check_withdrawn(target);
         let host = self.hosts.insert(target.name.clone(), target.host.clone());
-        let moved = host.is_some_and(|host| host != target.host);
+        let has_moved = host.is_some_and(|host| host != target.host);
         if !target.state.accepts_work() {
             self.leaving.entry(target.name.clone()).or_insert(now);
             return;
         }
-        // A replaced target serves again from another host, without an order.
-        if moved {
+        // A replaced target returns to service on its new host without a resume order.
+        if has_moved {
             self.leaving.remove(&target.name);
         }
     }
 
-    /// A withdrawn name is never registered again.
+    /// Checks that the name of a withdrawn target is never registered again.
     fn check_withdrawn(&mut self, target: &Target) {
         let run = target.incarnation;
         let holder = self.withdrawn.get(&target.name).copied();
         if holder.is_none() && target.state != TargetState::Withdrawn {
             return;
         }
-        self.withdrawn_checks += 1;
+        self.checked_withdrawn_rows += 1;
         self.withdrawn.insert(target.name.clone(), run);
         let is_same_run = holder.is_none_or(|holder| run == holder || run == 0);
         if !is_same_run || target.state != TargetState::Withdrawn {
             self.violations.push(format!(
-                "invariant 7: {} was withdrawn and is registered by run {run:x} as {:?}",
+                "invariant 7: withdrawn target {} was registered by run {run:x} as {:?}",
                 target.name, target.state
             ));
         }
     }
 
-    /// Latest revision that was accepted at least `age` ago.
-    pub fn revision_aged(&self, now: Instant, age: Duration) -> u64 {
+    /// Latest revision committed at least `age` ago; 0 if there is none.
+    pub fn latest_revision_older_than(&self, now: Instant, age: Duration) -> u64 {
         let is_old = |since: Instant| now.saturating_duration_since(since) >= age;
         let index = self.revisions.partition_point(|(since, _)| is_old(*since));
         index.checked_sub(1).map_or(0, |i| self.revisions[i].1)
--- a/examples/soak/wrong.rs
+++ b/examples/soak/dispatches.rs
@@ -1,7 +1,7 @@
-//! Dispatches that reach an engine which no longer has what their request was accepted under.
+//! Checks that attempts reach only engines with the model, version and adapter they need.
 //!
-//! What the agent rejects is counted beside what gets through, so that the worth of its last
-//! check can be measured: with the check switched off, the rejected ones get through.
+//! Rejections by the agent are counted as well. They show what its final check prevents: without
+//! the check, the rejected attempts would reach the engine.
 
 use types::AttemptId;
 use types::Incarnation;
@@ -9,25 +9,25 @@
 use wire::Dispatch;
 use wire::Rejection;
 
-use crate::world::World;
+use crate::simulation::Simulation;
 
-/// What a dispatch said when it was sent.
-pub struct Sent {
+/// Requirements of a dispatched attempt.
+pub struct DispatchedAttempt {
     incarnation: Incarnation,
     needs: Loaded,
 }
 
-impl World {
-    pub fn note_dispatch(&mut self, dispatch: &Dispatch) {
+impl Simulation {
+    pub fn record_dispatch(&mut self, dispatch: &Dispatch) {
         self.count("dispatches");
-        let sent = Sent {
+        let sent = DispatchedAttempt {
             incarnation: dispatch.incarnation,
             needs: dispatch.needs.clone(),
         };
-        self.sent.insert(dispatch.attempt, sent);
+        self.dispatches.insert(dispatch.attempt, sent);
     }
 
-    pub fn note_rejection(&mut self, reason: Rejection) {
+    pub fn count_rejection(&mut self, reason: Rejection) {
         match reason {
             Rejection::WrongModel => self.count("rejected: wrong model"),
             Rejection::WrongIncarnation => self.count("rejected: wrong incarnation"),
@@ -37,37 +37,37 @@
         }
     }
 
-    /// An attempt is about to reach its target.
-    pub fn check_fit(&mut self, at: usize, run: Incarnation, attempt: AttemptId) {
+    /// Checks an attempt just before it starts at its target.
+    pub fn check_attempt(&mut self, at: usize, run: Incarnation, attempt: AttemptId) {
         let now = self.now();
         let target = &self.agents[at].target;
-        let Some(sent) = self.sent.get(&attempt) else {
+        let Some(sent) = self.dispatches.get(&attempt) else {
             return;
         };
         if !target.is_serving(now) {
             return;
         }
-        let (fits, restarted) = (target.holds(&sent.needs), target.is_restarted());
+        let (is_fitting, is_restarted) = (target.holds(&sent.needs), target.is_restarted());
         let is_other_run = sent.incarnation != run;
         let needs = format!("{:?}", sent.needs);
-        self.check("final check: fits");
+        self.count_check("final check: fits");
         if is_other_run {
             self.count("wrong at the target: another run");
-            self.violation(format!(
-                "invariant 6: attempt {attempt:?} reaches target {at} in a run it was not sent to"
+            self.record_violation(format!(
+                "invariant 6: attempt {attempt:?} reaches target {at} in another run than addressed"
             ));
         }
-        if fits {
+        if is_fitting {
             return;
         }
-        if restarted {
-            // The engine alone knows that it restarted until the agent reads its state again.
+        if is_restarted {
+            // The agent learns of an engine restart only when it next reads the engine state.
             self.count("wrong at the target: just restarted");
             return;
         }
         self.count("wrong at the target: model, version or adapter");
-        self.violation(format!(
-            "invariant 2: attempt {attempt:?} needs {needs} and reaches engine {at} without it"
+        self.record_violation(format!(
+            "invariant 2: attempt {attempt:?} needs {needs}, which engine {at} does not have loaded"
         ));
     }
 }
--- a/examples/soak/entries.rs
+++ b/examples/soak/entries.rs
@@ -1,4 +1,4 @@
-//! Entry processes: their start, their end, and what they ask for.
+//! Entry processes: start, stop, and execution of the actions that `EntryCore` returns.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -23,37 +23,38 @@
 
 use crate::callers::CallerEvent;
 use crate::net::Frame;
-use crate::repair::Repair;
+use crate::repairs::Repair;
 use crate::setup::MODEL_SERVICE;
 use crate::setup::core_options;
 use crate::setup::node_at;
-use crate::world::Happening;
-use crate::world::Input;
-use crate::world::Node;
-use crate::world::World;
+use crate::simulation::Input;
+use crate::simulation::Node;
+use crate::simulation::SimEvent;
+use crate::simulation::Simulation;
 
-/// Time for the balancer to notice that an entry is stopping.
+/// Time until the load balancer stops sending to an entry that is stopping.
 const BALANCER_NOTICE_MS: Duration = Duration::from_secs(1);
 
-/// Host of an entry, and the process on it.
+/// Host of an entry, with its current process.
 pub struct EntryHost {
     pub incarnation: Incarnation,
     pub core: Option<EntryCore>,
     pub paused_until: Option<Instant>,
     pub inbox: VecDeque<Input>,
-    pub armed: Option<Instant>,
-    /// The balancer sends requests here.
-    pub staying: bool,
-    pub leaving: bool,
-    pub cut: Rc<Cell<bool>>,
+    pub next_timer: Option<Instant>,
+    /// The load balancer sends requests to this entry.
+    pub is_in_rotation: bool,
+    pub is_stopping: bool,
+    /// The process cannot reach the platform (table, object store and host list).
+    pub is_disconnected: Rc<Cell<bool>>,
     pub table: Option<Rc<Guarded>>,
     pub executor: Option<Rc<Executor>>,
-    /// Lease of the model service as this run acquired it, also after it was lost.
+    /// Lease of the model service as last acquired by this run; kept after it is lost.
     pub held: Option<HeldLease>,
-    /// Last revision seen in force in this run.
+    /// Configuration revision at the last check of this run.
     pub revision: u64,
-    /// Since when nothing has kept the process from the configuration.
-    pub undisturbed: Instant,
+    /// End of the last fault that kept the process from reading the configuration.
+    pub stable_since: Instant,
 }
 
 impl EntryHost {
@@ -63,15 +64,15 @@
             core: None,
             paused_until: None,
             inbox: VecDeque::new(),
-            armed: None,
-            staying: false,
-            leaving: false,
-            cut: Rc::default(),
+            next_timer: None,
+            is_in_rotation: false,
+            is_stopping: false,
+            is_disconnected: Rc::default(),
             table: None,
             executor: None,
             held: None,
             revision: 0,
-            undisturbed: Instant::now(),
+            stable_since: Instant::now(),
         }
     }
 
@@ -88,11 +89,11 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn start_entry(&mut self, at: usize) {
-        let incarnation = self.fresh();
-        let cut: Rc<Cell<bool>> = Rc::default();
-        let table = self.guarded(cut.clone());
+        let incarnation = self.random_id();
+        let is_disconnected: Rc<Cell<bool>> = Rc::default();
+        let table = self.guarded(is_disconnected.clone());
         let executor = self.executor(table.clone());
         let now = self.now();
         let host = &mut self.entries[at];
@@ -100,48 +101,48 @@
         host.core = Some(EntryCore::new(core_options(at), incarnation, now));
         host.paused_until = None;
         host.inbox.clear();
-        host.armed = None;
-        host.staying = true;
-        host.leaving = false;
-        host.cut = cut;
+        host.next_timer = None;
+        host.is_in_rotation = true;
+        host.is_stopping = false;
+        host.is_disconnected = is_disconnected;
         host.table = Some(table);
         host.executor = Some(executor);
         host.held = None;
         host.revision = 0;
-        host.undisturbed = now;
-        self.note(&format!("entry {at} starts as {incarnation:x}"));
-        self.entry_event(at, Event::Tick);
+        host.stable_since = now;
+        self.log(&format!("entry {at} starts as {incarnation:x}"));
+        self.handle_entry_event(at, Event::Tick);
     }
 
-    /// The process ends at once. With `silently`, its connections are not closed.
+    /// Ends the process at once. With `silently`, its connections stay open without traffic.
     pub fn kill_entry(&mut self, at: usize, silently: bool) {
         let run = self.entries[at].incarnation;
         if !self.entries[at].is_up() {
             return;
         }
-        self.end_conns(Node::Entry(at), run, silently);
+        self.end_connections(Node::Entry(at), run, silently);
         self.tasks.cancel(run);
         let host = &mut self.entries[at];
         host.core = None;
-        host.staying = false;
-        self.entry_lost(at, run);
+        host.is_in_rotation = false;
+        self.disconnect_callers(at, run);
     }
 
-    /// The process is asked to stop and must cut off nothing.
+    /// Starts a graceful stop, which must not abort any request.
     pub fn stop_entry(&mut self, at: usize) {
         let host = &mut self.entries[at];
-        if !host.is_up() || host.leaving {
+        if !host.is_up() || host.is_stopping {
             return;
         }
-        host.staying = false;
-        host.leaving = true;
+        host.is_in_rotation = false;
+        host.is_stopping = true;
         let run = host.incarnation;
         let event = Input::Entry(Event::Leaving);
-        self.later(BALANCER_NOTICE_MS, Node::Entry(at), run, event);
+        self.deliver_after(BALANCER_NOTICE_MS, Node::Entry(at), run, event);
     }
 
-    pub fn entry_event(&mut self, at: usize, event: Event) {
-        if self.killed_after_put(at, &event) {
+    pub fn handle_entry_event(&mut self, at: usize, event: Event) {
+        if self.may_kill_after_put(at, &event) {
             return;
         }
         let now = self.now();
@@ -152,21 +153,21 @@
         };
         let actions = core.handle(now, event);
         let wake = core.next_wake().max(now + Duration::from_micros(10));
-        if host.armed.is_none_or(|armed| wake < armed) {
-            host.armed = Some(wake);
-            self.at(wake, Happening::Wake(Node::Entry(at), run));
+        if host.next_timer.is_none_or(|next_timer| wake < next_timer) {
+            host.next_timer = Some(wake);
+            self.schedule_at(wake, SimEvent::Timer(Node::Entry(at), run));
         }
         for action in actions {
-            self.carry_out_entry(at, run, action);
+            self.execute_entry_action(at, run, action);
         }
-        self.entry_may_stop(at);
+        self.stop_entry_when_idle(at);
     }
 
-    fn entry_may_stop(&mut self, at: usize) {
+    fn stop_entry_when_idle(&mut self, at: usize) {
         let now = self.now();
         let host = &self.entries[at];
         let run = host.incarnation;
-        let is_done = host.leaving
+        let is_done = host.is_stopping
             && host
                 .core
                 .as_ref()
@@ -174,27 +175,29 @@
         if !is_done {
             return;
         }
-        self.check("8 entry stopped");
-        let open = self.open_at(at, run);
+        self.count_check("8 entry stopped");
+        let open = self.waiting_callers(at, run);
         if open > 0 {
-            self.violation(format!("invariant 8: entry {at} stops with {open} callers"));
+            self.record_violation(format!(
+                "invariant 8: entry {at} stops with {open} callers waiting"
+            ));
         }
-        self.end_conns(Node::Entry(at), run, false);
+        self.end_connections(Node::Entry(at), run, false);
         self.tasks.cancel(run);
         let host = &mut self.entries[at];
         host.core = None;
-        self.note(&format!("entry {at} has stopped"));
-        let delay = self.millis(500, 1_500);
-        self.after(delay, Happening::Repair(Repair::Entry(at)));
+        self.log(&format!("entry {at} has stopped"));
+        let delay = self.random_ms(500, 1_500);
+        self.schedule_after(delay, SimEvent::Repair(Repair::Entry(at)));
     }
 
-    fn carry_out_entry(&mut self, at: usize, run: Incarnation, action: Action) {
+    fn execute_entry_action(&mut self, at: usize, run: Incarnation, action: Action) {
         let node = Node::Entry(at);
         match action {
             Action::Reply { request, reply } => {
-                self.after(
+                self.schedule_after(
                     Duration::from_millis(1),
-                    Happening::Caller(CallerEvent::Reply(request, reply)),
+                    SimEvent::Caller(CallerEvent::Reply(request, reply)),
                 );
             }
             Action::OpenLink {
@@ -202,44 +205,44 @@
                 target,
                 address,
             } => {
-                let open = Happening::Connect(at, run, link, target, address);
-                self.after(Duration::from_millis(2), open);
+                let open = SimEvent::Connect(at, run, link, target, address);
+                self.schedule_after(Duration::from_millis(2), open);
             }
             Action::CloseLink { link } => {
-                if let Some(index) = self.conn_of.get(&(at, run, link)).copied() {
-                    self.close_conn(index, true);
+                if let Some(index) = self.connection_of.get(&(at, run, link)).copied() {
+                    self.close_connection(index, true);
                 }
             }
             Action::Send { link, message } => {
                 if let ToAgent::Dispatch(dispatch) = &message {
-                    self.note_dispatch(dispatch);
+                    self.record_dispatch(dispatch);
                 }
-                if let Some(index) = self.conn_of.get(&(at, run, link)).copied() {
+                if let Some(index) = self.connection_of.get(&(at, run, link)).copied() {
                     self.send_frame(index, Frame::ToAgent(message), true);
                 }
             }
-            Action::SendDatagram { to, datagram } => self.datagram(node, to, &datagram),
+            Action::SendDatagram { to, datagram } => self.send_datagram(node, to, &datagram),
             Action::Table { operation, request } => self.call_table(at, run, operation, request),
             Action::Object { operation, request } => {
                 self.call_objects(at, run, operation, request);
             }
             Action::ReadHosts => {
                 let now = self.now();
-                let result = if self.entries[at].cut.get() {
+                let result = if self.entries[at].is_disconnected.get() {
                     Err(StoreError::Unavailable("no connection".to_owned()))
                 } else {
                     Ok(self.hosts.list(now))
                 };
                 let input = Input::Entry(Event::Hosts(result));
-                self.later(Duration::from_millis(2), node, run, input);
+                self.deliver_after(Duration::from_millis(2), node, run, input);
             }
             Action::AskPeer { address, after } => {
                 if let Some(there @ Node::Entry(peer)) = node_at(address)
-                    && !self.is_cut(node, there)
+                    && !self.is_partitioned(node, there)
                 {
                     let peer_run = self.entries[peer].incarnation;
                     let event = Event::PeerAsks { peer: run, after };
-                    self.later(
+                    self.deliver_after(
                         Duration::from_millis(3),
                         there,
                         peer_run,
@@ -249,9 +252,12 @@
             }
             Action::AnswerPeer { peer, answer } => {
                 let there = self.entries.iter().position(|host| host.is_run(peer));
-                if let Some(there) = there.map(Node::Entry).filter(|to| !self.is_cut(node, *to)) {
+                if let Some(there) = there
+                    .map(Node::Entry)
+                    .filter(|to| !self.is_partitioned(node, *to))
+                {
                     let event = Event::PeerAnswered { peer: run, answer };
-                    self.later(Duration::from_millis(3), there, peer, Input::Entry(event));
+                    self.deliver_after(Duration::from_millis(3), there, peer, Input::Entry(event));
                 }
             }
             Action::PlanOrder {
@@ -268,13 +274,13 @@
                     kind,
                     supersedes: None,
                 };
-                self.apply_planned(at, run, intent, reason, Some(service));
+                self.apply_intent(at, run, intent, reason, Some(service));
             }
             Action::KeepPlan { held, reason } => {
                 self.count("role changes weighed and refused");
-                self.apply_planned(at, run, PlanKept { held }, reason, None);
+                self.apply_intent(at, run, PlanKept { held }, reason, None);
             }
-            Action::Note(event) => self.entry_note(at, &event),
+            Action::Note(event) => self.handle_entry_note(at, &event),
         }
     }
 
@@ -298,7 +304,7 @@
         });
     }
 
-    fn apply_planned<I>(
+    fn apply_intent<I>(
         &mut self,
         at: usize,
         run: Incarnation,
@@ -328,14 +334,14 @@
         });
     }
 
-    /// Gives an order under the lease that the entry acquired, whether or not it still holds it.
-    pub fn plan_as(&mut self, at: usize, target: &str, kind: OrderKind) {
+    /// Writes an order under the lease that the entry last acquired, even if it has been lost.
+    pub fn order_under_lease(&mut self, at: usize, target: &str, kind: OrderKind) {
         let host = &self.entries[at];
         let (Some(held), Some(executor)) = (host.held.clone(), host.executor.clone()) else {
             return;
         };
         let run = host.incarnation;
-        let facts = self.facts.clone();
+        let commits = self.commits.clone();
         let intent = PlannedOrder {
             held: held.clone(),
             target: target.to_owned(),
@@ -346,22 +352,22 @@
         self.tasks.spawn(run, async move {
             let author = control::Author {
                 by: "planner",
-                reason: crate::roles::HARNESS_REASON,
+                reason: crate::roles::SIMULATION_REASON,
             };
             let result = executor.apply(&intent, author).await;
             if let Ok(Some(change)) = result {
-                facts.borrow_mut().planned(&change, &held);
+                commits.borrow_mut().check_planned_order(&change, &held);
             }
         });
     }
 
-    fn entry_note(&mut self, at: usize, note: &Note) {
+    fn handle_entry_note(&mut self, at: usize, note: &Note) {
         match note {
             Note::RequestSettled { .. } | Note::ConfigurationApplied { .. } => {}
             Note::LeaseAcquired { scope, fencing } => {
                 self.count("leases acquired");
                 let line = format!("entry {at} holds the lease {scope} ({fencing})");
-                self.note(&line);
+                self.log(&line);
                 if scope == MODEL_SERVICE {
                     let row = self.table.row(&control::keys::lease(scope));
                     self.entries[at].held = Some(HeldLease {
@@ -373,9 +379,9 @@
                 }
             }
             Note::ConfigurationRejected { detail } => {
-                self.violation(format!("invariant 9: entry {at} rejects: {detail}"));
+                self.record_violation(format!("invariant 9: entry {at} rejects: {detail}"));
             }
-            other => self.note(&format!("entry {at}: {other:?}")),
+            other => self.log(&format!("entry {at}: {other:?}")),
         }
     }
 }
--- a/examples/soak/mix.rs
+++ b/examples/soak/mix.rs
@@ -1,4 +1,5 @@
-//! Mix of work: it swings between prefill-heavy and decode-heavy, so that roles have to change.
+//! Workload mix of the reads; it alternates between prefill-heavy and decode-heavy, so that roles
+//! have to change.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,49 +10,49 @@
 use types::Work;
 
 use crate::setup::ENGINES;
-use crate::world::Phase;
-use crate::world::World;
+use crate::simulation::Phase;
+use crate::simulation::Simulation;
 
-/// Tokens of one cache piece; engines hand out their cache in blocks of this.
-const PIECE_TOKENS: u32 = fakes::target::PIECE_TOKENS;
-/// Prompts that many callers send again, one for each logbook.
-const LOGBOOKS: u64 = 12;
-/// Long reads in thousand that start with a shared logbook.
-const SHARED_PERMILLE: u32 = 250;
-/// Swings in thousand to one class only, with more work than the engines can carry. The planner
-/// then wants the last target of the other class too.
-const STRONG_PERMILLE: u32 = 300;
-/// Odd factor that spreads consecutive numbers over 64 bits.
-const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Block size of the engines' prefix cache.
+const BLOCK_TOKENS: u32 = fakes::target::PIECE_TOKENS;
+/// Number of distinct prompts that are shared between callers.
+const SHARED_PROMPTS: u64 = 12;
+/// Share of reads of at least one cache block that use a shared prompt.
+const SHARED_PROMPT_PERMILLE: u32 = 250;
+/// Share of workload changes to a single class with more load than the engines' capacity. The
+/// planner then has a reason to take even the last target of the other class.
+const OVERLOAD_PERMILLE: u32 = 300;
+/// Multiplier for Fibonacci hashing; odd, so that distinct inputs give distinct hashes.
+const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// What most reads are.
+/// Class of most reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lean {
+pub enum WorkloadClass {
     /// Long prompts with short answers.
     Prefill,
     /// Short prompts with long answers.
     Decode,
-    /// Neither; the roles carry it as they are.
-    Even,
+    /// Balanced; needs no role changes.
+    Balanced,
 }
 
-/// The present lean of the mix.
-pub struct Mix {
-    lean: Lean,
-    /// One class only, and more of it than the engines can carry in any roles.
-    strong: bool,
+/// Current workload mix.
+pub struct WorkloadMix {
+    class: WorkloadClass,
+    /// Reads of one class only, above the capacity of the engines in any roles.
+    is_overload: bool,
     until: Option<Instant>,
 }
 
-/// Size of one read.
+/// Size and prefix hashes of one read.
 #[derive(Debug, Clone, Default)]
-pub struct Size {
+pub struct ReadSize {
     pub prompt_tokens: u32,
     pub output_tokens: u32,
     pub prefixes: Vec<u64>,
 }
 
-impl Size {
+impl ReadSize {
     pub fn apply(&self, work: &mut Work) {
         work.prompt_tokens = self.prompt_tokens;
         work.max_output_tokens = self.output_tokens;
@@ -59,77 +60,77 @@
     }
 }
 
-impl Mix {
+impl WorkloadMix {
     pub fn new() -> Self {
         Self {
-            lean: Lean::Even,
-            strong: false,
+            class: WorkloadClass::Balanced,
+            is_overload: false,
             until: None,
         }
     }
 }
 
-impl World {
-    /// Lets the mix swing when its time is over. Warm-up and recovery are compared with each
-    /// other, so both have the even mix.
-    pub fn swing(&mut self) {
+impl Simulation {
+    /// Selects the next workload when the current one ends. Warm-up and recovery always have the
+    /// balanced workload, as their goodput is compared.
+    pub fn update_mix(&mut self) {
         let now = self.now();
         let is_steady = matches!(self.phase, Phase::WarmUp | Phase::Recovery);
         if is_steady {
-            self.mix = Mix::new();
+            self.mix = WorkloadMix::new();
             return;
         }
         if self.mix.until.is_some_and(|until| now < until) {
             return;
         }
-        let (to_even, to_prefill) = (self.chance(150), self.chance(500));
-        let lean = match self.mix.lean {
-            Lean::Prefill | Lean::Decode if to_even => Lean::Even,
-            Lean::Even if to_prefill => Lean::Prefill,
-            Lean::Prefill | Lean::Even => Lean::Decode,
-            Lean::Decode => Lean::Prefill,
+        let (rebalance, to_prefill) = (self.chance(150), self.chance(500));
+        let class = match self.mix.class {
+            WorkloadClass::Prefill | WorkloadClass::Decode if rebalance => WorkloadClass::Balanced,
+            WorkloadClass::Balanced if to_prefill => WorkloadClass::Prefill,
+            WorkloadClass::Prefill | WorkloadClass::Balanced => WorkloadClass::Decode,
+            WorkloadClass::Decode => WorkloadClass::Prefill,
         };
-        let strong = lean != Lean::Even && self.chance(STRONG_PERMILLE);
-        let time: Duration = if strong {
-            self.millis(90_000, 180_000)
+        let is_overload = class != WorkloadClass::Balanced && self.chance(OVERLOAD_PERMILLE);
+        let duration: Duration = if is_overload {
+            self.random_ms(90_000, 180_000)
         } else {
-            self.millis(35_000, 100_000)
+            self.random_ms(35_000, 100_000)
         };
-        if strong {
-            self.prepare(lean);
+        if is_overload {
+            self.order_matching_roles(class);
         }
-        self.mix = Mix {
-            lean,
-            strong,
-            until: Some(now + time),
+        self.mix = WorkloadMix {
+            class,
+            is_overload,
+            until: Some(now + duration),
         };
-        self.count("swings of the mix");
-        self.note(&format!(
-            "the mix leans to {lean:?}, strong {strong}, for {time:?}"
+        self.count("workload mix changes");
+        self.log(&format!(
+            "workload mix: {class:?}, overload {is_overload}, for {duration:?}"
         ));
     }
 
-    /// Operators who expect a strong swing change the roles of half of the engines themselves.
-    fn prepare(&mut self, lean: Lean) {
-        let role = match lean {
-            Lean::Prefill => Role::Prefill,
-            Lean::Decode => Role::Decode,
-            Lean::Even => return,
+    /// Operators change the roles of half of the engines before an overload of one class.
+    fn order_matching_roles(&mut self, class: WorkloadClass) {
+        let role = match class {
+            WorkloadClass::Prefill => Role::Prefill,
+            WorkloadClass::Decode => Role::Decode,
+            WorkloadClass::Balanced => return,
         };
         for at in (0..ENGINES).step_by(2) {
-            self.order(at, OrderKind::ChangeRole { role });
+            self.order_target(at, OrderKind::ChangeRole { role });
         }
     }
 
-    /// Draws the size of a read; `number` tells its prompt from all others.
-    pub fn read_size(&mut self, number: usize) -> Size {
-        // Shares of prompts of 100, 4,000 and 12,000 tokens, in hundredths.
-        let (short, long) = match self.mix.lean {
-            Lean::Prefill if self.mix.strong => (0, 96),
-            Lean::Prefill => (44, 96),
-            Lean::Decode if self.mix.strong => (100, 100),
-            Lean::Decode => (95, 99),
-            Lean::Even => (80, 96),
+    /// Draws the size of a read; `number` makes an unshared prompt unique.
+    pub fn read_size(&mut self, number: usize) -> ReadSize {
+        // Cumulative percentages of prompts of 100 and 4,000 tokens; the rest have 12,000.
+        let (short, long) = match self.mix.class {
+            WorkloadClass::Prefill if self.mix.is_overload => (0, 96),
+            WorkloadClass::Prefill => (44, 96),
+            WorkloadClass::Decode if self.mix.is_overload => (100, 100),
+            WorkloadClass::Decode => (95, 99),
+            WorkloadClass::Balanced => (80, 96),
         };
         let draw = self.random.random_range(0..100);
         let prompt_tokens = if draw < short {
@@ -139,22 +140,22 @@
         } else {
             12_000
         };
-        let output_tokens = match self.mix.lean {
-            Lean::Prefill => 50,
-            Lean::Decode if self.mix.strong => 1_300,
-            Lean::Decode => 750,
-            Lean::Even => 100,
+        let output_tokens = match self.mix.class {
+            WorkloadClass::Prefill => 50,
+            WorkloadClass::Decode if self.mix.is_overload => 1_300,
+            WorkloadClass::Decode => 750,
+            WorkloadClass::Balanced => 100,
         };
-        let shared = prompt_tokens >= PIECE_TOKENS && self.chance(SHARED_PERMILLE);
-        let text = if shared {
-            self.random.random_range(0..LOGBOOKS)
+        let is_shared = prompt_tokens >= BLOCK_TOKENS && self.chance(SHARED_PROMPT_PERMILLE);
+        let prompt = if is_shared {
+            self.random.random_range(0..SHARED_PROMPTS)
         } else {
-            LOGBOOKS + number as u64
+            SHARED_PROMPTS + number as u64
         };
-        let prefixes = (0..u64::from(prompt_tokens / PIECE_TOKENS))
-            .map(|piece| (text << 8 | piece).wrapping_mul(SPREAD))
+        let prefixes = (0..u64::from(prompt_tokens / BLOCK_TOKENS))
+            .map(|block| (prompt << 8 | block).wrapping_mul(HASH_MULTIPLIER))
             .collect();
-        Size {
+        ReadSize {
             prompt_tokens,
             output_tokens,
             prefixes,
--- a/examples/soak/stores.rs
+++ b/examples/soak/objects.rs
@@ -1,4 +1,4 @@
-//! Large answers in the object store: calls, faults, resends after the answer, and checks.
+//! Large answers in the object store: calls, faults, resends of answered orders, and checks.
 
 use std::time::Duration;
 
@@ -20,27 +20,27 @@
 use types::Incarnation;
 
 use crate::callers::CallerEvent;
-use crate::repair::Repair;
-use crate::world::Happening;
-use crate::world::Input;
-use crate::world::Node;
-use crate::world::Phase;
-use crate::world::World;
-
-/// Resends of a large order that was answered: each must get the same answer or a true refusal.
-const AGAIN_LIMIT: u32 = 3;
-/// No resend after this time, since the claim may have expired.
-const AGAIN_MS: Duration = Duration::from_mins(1);
-/// Chance of a kill of an entry that has stored an object and not yet named it.
+use crate::repairs::Repair;
+use crate::simulation::Input;
+use crate::simulation::Node;
+use crate::simulation::Phase;
+use crate::simulation::SimEvent;
+use crate::simulation::Simulation;
+
+/// Maximum resends of an answered large order; each must get the same answer or a refusal.
+const ANSWERED_RESEND_LIMIT: u32 = 3;
+/// No resend later than this after the first request, as the claim may have expired.
+const ANSWERED_RESEND_LIMIT_MS: Duration = Duration::from_mins(1);
+/// Probability that an entry is killed after it stores an object and before it writes the claim.
 const KILL_AFTER_PUT_PERMILLE: u32 = 40;
 
-/// Whether the answer to a body is above what is kept for resends.
-pub fn is_not_kept(body: &[u8]) -> bool {
+/// Whether the answer to `body` exceeds the size limit for answers kept for resends.
+pub fn exceeds_kept_answer_limit(body: &[u8]) -> bool {
     body.starts_with(LARGE_ORDER) && answer_to(body, 0, false).len() > KEPT_ANSWER_LIMIT_BYTES
 }
 
-/// Claim rows of a transaction that name objects which are not stored.
-pub fn unstored(objects: &FakeObjects, transaction: &Transaction) -> Vec<String> {
+/// Describes the claim rows of a transaction that refer to objects missing from the store.
+pub fn unstored_objects(objects: &FakeObjects, transaction: &Transaction) -> Vec<String> {
     let values = transaction.puts.iter().filter_map(|put| put.value.as_ref());
     let claims = values.filter_map(|value| serde_json::from_str::<ClaimRow>(value).ok());
     claims
@@ -49,11 +49,11 @@
             let body = objects.object(&object.key);
             !body.is_some_and(|body| object.matches(&body))
         })
-        .map(|object| format!("claim names {} before it is stored", object.key))
+        .map(|object| format!("claim refers to object {} before it is stored", object.key))
         .collect()
 }
 
-impl World {
+impl Simulation {
     pub fn call_objects(
         &mut self,
         at: usize,
@@ -65,10 +65,10 @@
             self.check_deletion(key);
         }
         let objects = self.objects.clone();
-        let cut = self.entries[at].cut.clone();
+        let is_disconnected = self.entries[at].is_disconnected.clone();
         let results = self.results.clone();
         self.tasks.spawn(run, async move {
-            let result = objects.call(&cut, request).await;
+            let result = objects.call(&is_disconnected, request).await;
             let event = Event::ObjectDone { operation, result };
             results
                 .borrow_mut()
@@ -76,8 +76,9 @@
         });
     }
 
-    /// Kills an entry that would now name an object in its claim row. Returns whether it did.
-    pub fn killed_after_put(&mut self, at: usize, event: &Event) -> bool {
+    /// May kill an entry just after it has stored an object, before the claim row refers to it.
+    /// Returns whether it did.
+    pub fn may_kill_after_put(&mut self, at: usize, event: &Event) -> bool {
         let is_stored = matches!(
             event,
             Event::ObjectDone {
@@ -92,34 +93,34 @@
         if self.phase != Phase::Faults || !self.chance(KILL_AFTER_PUT_PERMILLE) {
             return false;
         }
-        self.did("entry killed between object and row", &at.to_string());
+        self.record_fault("entry killed between object and row", &at.to_string());
         self.kill_entry(at, false);
-        let delay = self.millis(500, 3_000);
-        self.after(delay, Happening::Repair(Repair::Entry(at)));
+        let delay = self.random_ms(500, 3_000);
+        self.schedule_after(delay, SimEvent::Repair(Repair::Entry(at)));
         true
     }
 
     pub fn fault_objects(&mut self) {
-        let time = self.millis(1_000, 12_000);
-        let faults = match self.pick(3) {
+        let duration = self.random_ms(1_000, 12_000);
+        let faults = match self.random_index(3) {
             0 => {
-                self.did("object store outage", &format!("{time:?}"));
+                self.record_fault("object store outage", &format!("{duration:?}"));
                 ObjectFaults {
                     outage: true,
                     ..ObjectFaults::default()
                 }
             }
             1 => {
-                let slow_ms = self.millis(500, 7_000);
-                self.did("object store slow", &format!("{time:?} {slow_ms:?}"));
+                let slow_ms = self.random_ms(500, 7_000);
+                self.record_fault("object store slow", &format!("{duration:?} {slow_ms:?}"));
                 ObjectFaults {
                     slow_ms,
                     ..ObjectFaults::default()
                 }
             }
             _ => {
-                let detail = format!("{time:?}");
-                self.did("object replies lost, late and cut short", &detail);
+                let detail = format!("{duration:?}");
+                self.record_fault("object replies lost, late and cut short", &detail);
                 ObjectFaults {
                     lost_reply_permille: 250,
                     late_permille: 150,
@@ -129,25 +130,28 @@
             }
         };
         self.objects.set_faults(faults);
-        self.after(time, Happening::Repair(Repair::Objects));
+        self.schedule_after(duration, SimEvent::Repair(Repair::Objects));
     }
 
-    /// Sends a large order again although it was answered.
-    pub fn ask_again(&mut self, op: usize) {
+    /// Schedules a resend of a large order that has been answered.
+    pub fn resend_answered(&mut self, operation: usize) {
         let now = self.now();
-        let state = &mut self.ops[op];
+        let state = &mut self.operations[operation];
         let is_due = state.answered.is_some()
             && state.body.starts_with(LARGE_ORDER)
-            && state.again < AGAIN_LIMIT;
+            && state.answered_resends < ANSWERED_RESEND_LIMIT;
         if !is_due {
             return;
         }
         let delay = Duration::from_millis(if self.chance(300) { 50 } else { 4_000 });
-        let delay = delay + self.millis(0, 20_000);
-        let state = &mut self.ops[op];
-        if now + delay < state.first + AGAIN_MS {
-            state.again += 1;
-            self.after(delay, Happening::Caller(CallerEvent::Again(op)));
+        let delay = delay + self.random_ms(0, 20_000);
+        let state = &mut self.operations[operation];
+        if now + delay < state.started + ANSWERED_RESEND_LIMIT_MS {
+            state.answered_resends += 1;
+            self.schedule_after(
+                delay,
+                SimEvent::Caller(CallerEvent::ResendAnswered(operation)),
+            );
         }
     }
 
@@ -162,8 +166,8 @@
         serde_json::from_str(&row.value).ok()
     }
 
-    /// Claim of an object, if there still is one.
-    fn claim_of(&self, object: &str) -> Option<ClaimRow> {
+    /// Claim row that refers to an object, if it still exists.
+    fn claim_of_object(&self, object: &str) -> Option<ClaimRow> {
         let claim = object.split('/').nth(1)?;
         let key = format!("{CLAIM_PREFIX}{claim}");
         self.claim(&key)
@@ -171,20 +175,22 @@
     }
 
     fn check_deletion(&mut self, object: &str) {
-        self.check("objects deleted only when expired");
+        self.count_check("objects deleted only when expired");
         let epoch = self.epoch();
-        let claim = self.claim_of(object);
+        let claim = self.claim_of_object(object);
         if claim.is_some_and(|claim| claim.expires_epoch >= epoch) {
-            self.violation(format!("{object} is deleted before its claim has expired"));
+            self.record_violation(format!(
+                "object {object} is deleted before its claim has expired"
+            ));
         }
     }
 
-    /// Checks at rest that every object has a claim and every claim its object.
+    /// Checks at the end that every object has a claim and every unexpired claim its object.
     pub fn check_objects(&mut self) {
         for key in self.objects.keys() {
-            self.check("objects with a claim");
-            if self.claim_of(&key).is_none() {
-                self.violation(format!("{key} is stored and no claim leads to it"));
+            self.count_check("objects with a claim");
+            if self.claim_of_object(&key).is_none() {
+                self.record_violation(format!("object {key} is stored and no claim refers to it"));
             }
         }
         let scan = TableRequest::Scan {
@@ -203,15 +209,18 @@
             let Some(object) = claim.object.filter(|_| claim.expires_epoch >= epoch) else {
                 continue;
             };
-            self.check("claims with their object");
+            self.count_check("claims with their object");
             let body = self.objects.object(&object.key);
             if !body.is_some_and(|body| object.matches(&body)) {
-                self.violation(format!("{} names an object that is not there", row.key));
+                self.record_violation(format!(
+                    "claim {} refers to an object that is not stored",
+                    row.key
+                ));
             }
         }
     }
 
-    pub fn heal_objects(&mut self) {
+    pub fn clear_object_faults(&mut self) {
         self.objects.set_faults(ObjectFaults::default());
     }
 }
--- a/examples/soak/queue.rs
+++ b/examples/soak/queue.rs
@@ -1,57 +1,56 @@
-//! What is going to happen, in order of time.
+//! Event queue of the simulation.
 
 use std::collections::BinaryHeap;
 use std::time::Instant;
 
-use crate::world::Happening;
+use crate::simulation::SimEvent;
 
-/// Queue of what is going to happen. What is due at the same time happens in the order in which
-/// it was added.
+/// Events ordered by due time; events due at the same time keep their insertion order.
 #[derive(Default)]
-pub struct Queue {
-    heap: BinaryHeap<Queued>,
-    added: u64,
+pub struct EventQueue {
+    heap: BinaryHeap<ScheduledEvent>,
+    pushed_count: u64,
 }
 
-impl Queue {
-    pub fn push(&mut self, at: Instant, what: Happening) {
-        self.added += 1;
-        let order = self.added;
-        self.heap.push(Queued { at, order, what });
+impl EventQueue {
+    pub fn push(&mut self, at: Instant, event: SimEvent) {
+        self.pushed_count += 1;
+        let order = self.pushed_count;
+        self.heap.push(ScheduledEvent { at, order, event });
     }
 
-    /// When the next one is due.
+    /// Due time of the next event.
     pub fn next(&self) -> Option<Instant> {
-        self.heap.peek().map(|queued| queued.at)
+        self.heap.peek().map(|scheduled| scheduled.at)
     }
 
-    pub fn pop(&mut self) -> Option<Happening> {
-        self.heap.pop().map(|queued| queued.what)
+    pub fn pop(&mut self) -> Option<SimEvent> {
+        self.heap.pop().map(|scheduled| scheduled.event)
     }
 }
 
-struct Queued {
+struct ScheduledEvent {
     at: Instant,
     order: u64,
-    what: Happening,
+    event: SimEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Queued {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
-    /// The earliest is the greatest, for the heap.
+impl Ord for ScheduledEvent {
+    /// Reversed, so that the max-heap yields the earliest event first.
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
--- a/examples/soak/replies.rs
+++ b/examples/soak/replies.rs
@@ -1,4 +1,4 @@
-//! What callers make of the replies that reach them.
+//! Checks of the replies that callers receive.
 
 use fakes::target::answer_to;
 use types::Refusal;
@@ -9,22 +9,22 @@
 
 use crate::callers::CallerEvent;
 use crate::callers::Kind;
-use crate::stores::is_not_kept;
-use crate::world::Happening;
-use crate::world::Phase;
-use crate::world::World;
+use crate::objects::exceeds_kept_answer_limit;
+use crate::simulation::Phase;
+use crate::simulation::SimEvent;
+use crate::simulation::Simulation;
 
-impl World {
-    pub fn reply(&mut self, request: RequestId, reply: Reply) {
-        let Some(sub) = self.subs.get_mut(&request) else {
+impl Simulation {
+    pub fn handle_reply(&mut self, request: RequestId, reply: Reply) {
+        let Some(sent) = self.sent_requests.get_mut(&request) else {
             return;
         };
-        if sub.excused {
+        if sent.is_closed {
             return;
         }
-        if sub.finals > 0 {
-            self.violation(format!(
-                "invariant 4: {request:x} gets more after its final reply"
+        if sent.final_replies > 0 {
+            self.record_violation(format!(
+                "invariant 4: {request:x} gets another reply after its final one"
             ));
             return;
         }
@@ -34,81 +34,87 @@
                 content_type,
                 ..
             } => {
-                let again = std::mem::replace(&mut sub.head, true);
+                let is_repeated = std::mem::replace(&mut sent.has_head, true);
                 if (status, content_type.as_str()) != (200, "text/plain") {
                     let head = format!("{status} {content_type}");
-                    self.violation(format!("invariant 4: {request:x} gets the head {head}"));
+                    self.record_violation(format!("invariant 4: {request:x} gets the head {head}"));
                 }
-                if again {
-                    self.violation(format!("invariant 4: {request:x} gets a second head"));
+                if is_repeated {
+                    self.record_violation(format!("invariant 4: {request:x} gets a second head"));
                 }
             }
             Reply::Body(bytes) => {
                 let length = bytes.len() as u64;
-                sub.received.extend_from_slice(&bytes);
+                sent.received.extend_from_slice(&bytes);
                 let delay = if self.chance(20) {
-                    self.millis(100, 400)
+                    self.random_ms(100, 400)
                 } else {
-                    self.millis(1, 6)
+                    self.random_ms(1, 6)
                 };
                 let consume = CallerEvent::Consume(request, length);
-                self.after(delay, Happening::Caller(consume));
+                self.schedule_after(delay, SimEvent::Caller(consume));
             }
             Reply::End => {
-                sub.finals += 1;
-                let received = std::mem::take(&mut sub.received);
-                let op = sub.op;
-                self.whole(request, op, &received);
+                sent.final_replies += 1;
+                let received = std::mem::take(&mut sent.received);
+                let operation = sent.operation;
+                self.check_answer(request, operation, &received);
             }
             Reply::Refused(refusal) => {
-                sub.finals += 1;
-                sub.received = Vec::new();
-                let (op, head) = (sub.op, sub.head);
-                self.refused(request, op, head, &refusal);
+                sent.final_replies += 1;
+                sent.received = Vec::new();
+                let (operation, has_head) = (sent.operation, sent.has_head);
+                self.check_refusal(request, operation, has_head, &refusal);
             }
         }
     }
 
-    fn whole(&mut self, request: RequestId, op: usize, received: &[u8]) {
-        self.check("4 whole own answer");
+    fn check_answer(&mut self, request: RequestId, operation: usize, received: &[u8]) {
+        self.count_check("4 whole own answer");
         let now = self.now();
-        let body = self.ops[op].body.clone();
-        let sampled = body.last().is_some_and(|byte| byte % 2 == 0);
+        let body = self.operations[operation].body.clone();
+        let is_sampled = body.last().is_some_and(|byte| byte % 2 == 0);
         let (received, usage) = split_usage(received);
         let is_own = {
             let ledger = self.ledger.borrow();
             let runs = ledger.runs.get(&body);
             runs.is_some_and(|runs| {
                 runs.iter()
-                    .any(|run| answer_to(&body, *run, sampled) == received)
+                    .any(|run| answer_to(&body, *run, is_sampled) == received)
             })
         };
-        let prompt_tokens = self.ops[op].size.prompt_tokens;
-        let is_stated = match self.ops[op].kind {
+        let prompt_tokens = self.operations[operation].size.prompt_tokens;
+        let is_stated = match self.operations[operation].kind {
             Kind::Read => usage == Some(prompt_tokens),
             Kind::Order | Kind::Keyless => usage.is_none(),
         };
         if !is_own || !is_stated {
             let start = String::from_utf8_lossy(&received[..received.len().min(60)]).into_owned();
-            self.violation(format!(
+            self.record_violation(format!(
                 "invariant 4: {request:x} ({}) is answered with {} bytes: {start}",
                 String::from_utf8_lossy(&body),
                 received.len()
             ));
         }
         self.count("answers");
-        if self.ops[op].again > 0 {
-            self.check("4 large answer of a resend");
+        if self.operations[operation].answered_resends > 0 {
+            self.count_check("4 large answer of a resend");
         }
-        self.ops[op].answered.get_or_insert(now);
-        self.ask_again(op);
+        self.operations[operation].answered.get_or_insert(now);
+        self.resend_answered(operation);
     }
 
-    fn refused(&mut self, request: RequestId, op: usize, head: bool, refusal: &Refusal) {
-        let kind = self.ops[op].kind;
-        let body = String::from_utf8_lossy(&self.ops[op].body).into_owned();
-        self.note(&format!(
-            "{body} {request:x} refused: {:?} {:?} head {head}: {}",
+    fn check_refusal(
+        &mut self,
+        request: RequestId,
+        operation: usize,
+        has_head: bool,
+        refusal: &Refusal,
+    ) {
+        let kind = self.operations[operation].kind;
+        let body = String::from_utf8_lossy(&self.operations[operation].body).into_owned();
+        self.log(&format!(
+            "{body} {request:x} refused: {:?} {:?} head {has_head}: {}",
             refusal.reason, refusal.run, refusal.detail
         ));
         self.count(match refusal.reason {
@@ -123,51 +129,53 @@
             _ => "refused: other",
         });
         if refusal.run == RunState::NotRun {
-            self.check("5 not run");
-            self.not_run.push(request);
+            self.count_check("5 not run");
+            self.refused_not_run.push(request);
             if self.ledger.borrow().ran.contains_key(&request) {
-                self.violation(format!("invariant 5: {body} {request:x} was run"));
+                self.record_violation(format!("invariant 5: {body} {request:x} was run"));
             }
         }
         if kind == Kind::Read && refusal.reason == RefusalReason::OutcomeUnknown {
-            self.violation(format!("{body} {request:x} is idempotent and unknown"));
+            self.record_violation(format!(
+                "idempotent {body} {request:x} was refused with outcome unknown"
+            ));
         }
-        let cut_off = matches!(
+        let is_aborted = matches!(
             refusal.reason,
             RefusalReason::TargetFailed
                 | RefusalReason::OutcomeUnknown
                 | RefusalReason::DeadlineExceeded
                 | RefusalReason::StoreUnavailable
         );
-        let is_kept = !is_not_kept(&self.ops[op].body);
-        if self.phase <= Phase::Planned && cut_off && is_kept {
-            self.violation(format!(
-                "invariant 2: {body} {request:x} was cut off without a fault: {refusal:?}"
+        let is_kept = !exceeds_kept_answer_limit(&self.operations[operation].body);
+        if self.phase <= Phase::Planned && is_aborted && is_kept {
+            self.record_violation(format!(
+                "invariant 2: {body} {request:x} was aborted without a fault: {refusal:?}"
             ));
         }
-        if self.ops[op].answered.is_some() {
+        if self.operations[operation].answered.is_some() {
             self.count("refused: resend of an answered order");
             if refusal.reason == RefusalReason::OutcomeUnknown && is_kept {
                 self.count("refused: outcome unknown after an answer that can be kept");
             }
-            self.ask_again(op);
+            self.resend_answered(operation);
         }
         if let Some(wait) = refusal.retry_after_ms
             && refusal.reason != RefusalReason::OutcomeUnknown
         {
-            self.resend(op, wait);
+            self.resend(operation, wait);
         }
     }
 
-    /// A target has started a run.
-    pub fn ran(&mut self, body: &[u8]) {
+    /// Checks invariant 6 when a target starts a run.
+    pub fn check_run_count(&mut self, body: &[u8]) {
         if body.starts_with(b"Read") {
             return;
         }
-        self.check("6 at most once");
+        self.count_check("6 at most once");
         let runs = self.ledger.borrow().runs.get(body).map_or(0, Vec::len);
         if runs > 1 {
-            self.violation(format!(
+            self.record_violation(format!(
                 "invariant 6: {} was run {runs} times",
                 String::from_utf8_lossy(body)
             ));
@@ -175,7 +183,7 @@
     }
 }
 
-/// Answer without the usage that engines add to it, and the prompt tokens stated there.
+/// Splits an answer from the usage object that engines append; returns its prompt token count.
 fn split_usage(received: &[u8]) -> (&[u8], Option<u32>) {
     const MARK: &[u8] = b"{\"usage\":";
     let Some(start) = received.windows(MARK.len()).rposition(|at| at == MARK) else {
--- a/examples/soak/roles.rs
+++ b/examples/soak/roles.rs
@@ -1,4 +1,4 @@
-//! Role changes that the planner orders by itself, and what must hold for them.
+//! Checks of the role changes that the planner orders.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,39 +17,40 @@
 use types::Target;
 use types::TargetName;
 
-use crate::world::World;
+use crate::simulation::Simulation;
 
-/// Author of the orders of the harness that are given under the lease of an entry.
-pub const HARNESS_REASON: &str = "soak";
-/// A planner may not know yet what changed in the service within this time: load reports up to
-/// 3 s old are planned with, and a commit is tried for 3 s.
-const UNSEEN_MS: Duration = Duration::from_secs(7);
+/// Reason given in orders that the simulation itself writes under an entry's lease.
+pub const SIMULATION_REASON: &str = "soak";
+/// The planner may not have seen changes of the service more recent than this: it accepts load
+/// reports up to 3 s old, and a commit is retried for up to 3 s.
+const STALENESS_LIMIT_MS: Duration = Duration::from_secs(7);
 
-/// Role changes as the table accepted them.
+/// Role changes committed to the table.
 #[derive(Default)]
 pub struct RoleChanges {
-    /// Orders of planners, by target and number.
+    /// Role changes ordered by the planner, by target and order number.
     pub planned: BTreeSet<(TargetName, u64)>,
-    /// Orders whose class was checked for another target.
+    /// Number of orders for which the remaining targets of the class were checked.
     pub checked: u64,
-    standing: BTreeMap<TargetName, (Role, bool)>,
-    /// Latest change of a role or state, by service.
-    changed: BTreeMap<ServiceName, Instant>,
+    /// Role of each target, and whether it accepts work.
+    target_roles: BTreeMap<TargetName, (Role, bool)>,
+    /// Time of the latest change of a role or state, by service.
+    last_changes: BTreeMap<ServiceName, Instant>,
 }
 
 impl RoleChanges {
-    /// Takes note of a target's row.
-    pub fn target(&mut self, now: Instant, target: &Target) {
-        let standing = (target.role, target.state.accepts_work());
-        let before = self.standing.insert(target.name.clone(), standing);
-        if before != Some(standing) {
-            self.changed.insert(target.service.clone(), now);
+    /// Records a target row.
+    pub fn record_target(&mut self, now: Instant, target: &Target) {
+        let role = (target.role, target.state.accepts_work());
+        let before = self.target_roles.insert(target.name.clone(), role);
+        if before != Some(role) {
+            self.last_changes.insert(target.service.clone(), now);
         }
     }
 
-    /// Takes note of a change; returns what should not have been accepted.
-    pub fn change(&mut self, now: Instant, rows: &Rows, change: &Change) -> Option<String> {
-        if change.by != "planner" || change.reason == HARNESS_REASON {
+    /// Records a change; returns a violation if it removes the last target of a class.
+    pub fn check_change(&mut self, now: Instant, rows: &Rows, change: &Change) -> Option<String> {
+        if change.by != "planner" || change.reason == SIMULATION_REASON {
             return None;
         }
         let ChangeBody::Order { after, .. } = &change.body else {
@@ -60,23 +61,26 @@
         };
         self.planned.insert((after.target.clone(), after.number));
         let target = row(rows, &after.target)?;
-        let changed = self.changed.get(&target.service);
-        if changed.is_some_and(|at| now < *at + UNSEEN_MS) {
+        let last_change = self.last_changes.get(&target.service);
+        if last_change.is_some_and(|at| now < *at + STALENESS_LIMIT_MS) {
             return None;
         }
         self.checked += 1;
-        let left = [Role::Prefill, Role::Decode]
+        let uncovered = [Role::Prefill, Role::Decode]
             .into_iter()
             .filter(|class| serves(target.role, *class) && !serves(role, *class))
             .find(|class| !self.is_served_by_others(rows, &target, *class))?;
         Some(format!(
-            "planner: order {} takes {} from {:?} to {role:?}, the last one for {left:?}",
+            "planner: order {} changes {} from {:?} to {role:?}, the last target for {uncovered:?}",
             after.number, after.target, target.role
         ))
     }
 
     fn is_served_by_others(&self, rows: &Rows, target: &Target, class: Role) -> bool {
-        let others = self.standing.keys().filter(|name| **name != target.name);
+        let others = self
+            .target_roles
+            .keys()
+            .filter(|name| **name != target.name);
         others
             .filter_map(|name| row(rows, name))
             .filter(|other| other.service == target.service && other.state.accepts_work())
@@ -90,7 +94,8 @@
     Some(target.value)
 }
 
-/// Whether a target may have changed to a role that serves a class, before its row says so.
+/// Whether a target may already have changed to a role that serves a class, although its row
+/// does not show it yet.
 fn is_ordered_to(rows: &Rows, target: &str, class: Role) -> bool {
     let order: Option<Order> = rows
         .get(&keys::order(target))
@@ -104,11 +109,11 @@
     role == class || role == Role::Mixed
 }
 
-impl World {
-    /// Role changes of planners that engines carried out.
+impl Simulation {
+    /// Number of planner role changes that engines executed.
     pub fn role_changes_executed(&self) -> usize {
-        let facts = self.facts.borrow();
-        let planned = &facts.roles.planned;
+        let commits = self.commits.borrow();
+        let planned = &commits.roles.planned;
         let ledger = self.ledger.borrow();
         let executed: BTreeSet<(&str, u64)> = ledger
             .obeyed
@@ -119,7 +124,7 @@
         executed.len()
     }
 
-    /// Orders that conflicted with another one at an engine or in the table.
+    /// Number of orders that conflicted with another one at an engine or in the table.
     pub fn conflicting_orders(&self) -> usize {
         let conflicts = self.violations.iter();
         conflicts
--- a/examples/soak/rollout.rs
+++ b/examples/soak/rollout.rs
@@ -1,4 +1,4 @@
-//! Operators put another version or adapter into service while requests are under way.
+//! Roll-outs of a model version or an adapter by operators while requests are running.
 
 use std::time::Duration;
 
@@ -10,122 +10,126 @@
 use types::OrderKind;
 use types::Target;
 
-use crate::repair::Repair;
+use crate::repairs::Repair;
 use crate::setup::ENGINES;
-use crate::world::Happening;
-use crate::world::Phase;
-use crate::world::World;
+use crate::simulation::Phase;
+use crate::simulation::SimEvent;
+use crate::simulation::Simulation;
 
-/// Time for the first engines to change before the profile does.
-const FIRST_MS: Duration = Duration::from_secs(9);
-/// Longer than the deadline, so that requests of the profile before are finished.
-const REST_MS: Duration = Duration::from_secs(12);
-/// Engines that change before the profile.
+/// Time between the change of the first engines and that of the profile.
+const PROFILE_DELAY_MS: Duration = Duration::from_secs(9);
+/// Time between the profile change and the remaining engines; longer than the deadline, so that
+/// requests accepted under the previous profile have ended.
+const REMAINING_DELAY_MS: Duration = Duration::from_secs(12);
+/// Number of engines that change before the profile.
 const FIRST_ENGINES: usize = ENGINES / 2;
 const ADAPTER: &str = "a0";
 
-/// What is put into service.
+/// Change that is rolled out.
 #[derive(Debug, Clone)]
-pub enum Change {
-    /// A version of the model; the adapter is dropped.
+pub enum RolloutChange {
+    /// Another model version, without an adapter.
     Version(&'static str),
-    /// An adapter.
+    /// Load the adapter.
     Adapter,
-    /// No adapter.
+    /// Unload the adapter.
     NoAdapter,
 }
 
-/// Part of a change of all engines.
+/// Later stage of a roll-out, after the first engines have been ordered to change.
 #[derive(Debug, Clone)]
 pub enum Stage {
-    Profile(Change, bool),
-    Rest(Change),
+    Profile(RolloutChange, bool),
+    RemainingEngines(RolloutChange),
     Review,
 }
 
-impl World {
-    /// Starts a change of the model profile. A careless operator does not wait for the engines.
-    pub fn roll_out(&mut self) {
-        if self.rolling_out {
+impl Simulation {
+    /// Starts a random roll-out. During faults, some operators do not wait between the stages.
+    pub fn start_rollout(&mut self) {
+        if self.is_rolling_out {
             return;
         }
-        self.rolling_out = true;
+        self.is_rolling_out = true;
         let has_adapter = !self.model.adapter.is_empty();
-        let change = match self.pick(3) {
-            0 if has_adapter => Change::NoAdapter,
-            0 => Change::Adapter,
-            _ if self.model.version == "1" => Change::Version("2"),
-            _ => Change::Version("1"),
+        let change = match self.random_index(3) {
+            0 if has_adapter => RolloutChange::NoAdapter,
+            0 => RolloutChange::Adapter,
+            _ if self.model.version == "1" => RolloutChange::Version("2"),
+            _ => RolloutChange::Version("1"),
         };
-        let careless = self.phase == Phase::Faults && self.chance(300);
-        self.did("roll-out", &format!("{change:?} careless {careless}"));
-        self.order_change(&change, 0..FIRST_ENGINES);
-        let (first, rest) = if careless {
+        let is_immediate = self.phase == Phase::Faults && self.chance(300);
+        self.record_fault("roll-out", &format!("{change:?} immediate {is_immediate}"));
+        self.order_rollout(&change, 0..FIRST_ENGINES);
+        let (first, rest) = if is_immediate {
             (Duration::ZERO, Duration::ZERO)
         } else {
-            (FIRST_MS, REST_MS)
+            (PROFILE_DELAY_MS, REMAINING_DELAY_MS)
         };
-        let stage = Stage::Profile(change.clone(), careless);
-        self.after(first, Happening::Repair(Repair::RollOut(stage)));
-        let stage = Stage::Rest(change);
-        self.after(first + rest, Happening::Repair(Repair::RollOut(stage)));
+        let stage = Stage::Profile(change.clone(), is_immediate);
+        self.schedule_after(first, SimEvent::Repair(Repair::Rollout(stage)));
+        let stage = Stage::RemainingEngines(change);
+        self.schedule_after(first + rest, SimEvent::Repair(Repair::Rollout(stage)));
     }
 
-    pub fn roll_on(&mut self, stage: Stage) {
+    pub fn continue_rollout(&mut self, stage: Stage) {
         if self.phase == Phase::Recovery {
             return;
         }
         match stage {
-            Stage::Profile(change, careless) => {
-                let before = self.model.clone();
+            Stage::Profile(change, is_immediate) => {
+                let previous = self.model.clone();
                 match change {
-                    Change::Version(version) => {
+                    RolloutChange::Version(version) => {
                         version.clone_into(&mut self.model.version);
                         self.model.adapter.clear();
                     }
-                    Change::Adapter => ADAPTER.clone_into(&mut self.model.adapter),
-                    Change::NoAdapter => self.model.adapter.clear(),
+                    RolloutChange::Adapter => ADAPTER.clone_into(&mut self.model.adapter),
+                    RolloutChange::NoAdapter => self.model.adapter.clear(),
                 }
-                if !careless && self.fitting_engines() < 2 {
-                    self.model = before;
+                if !is_immediate && self.matching_engines() < 2 {
+                    self.model = previous;
                     return;
                 }
                 let profile = self.model.clone();
-                self.command(Command::ChangeProfile { profile });
+                self.execute_command(Command::ChangeProfile { profile });
             }
-            Stage::Rest(change) => {
-                self.rolling_out = false;
-                self.order_change(&change, FIRST_ENGINES..ENGINES);
-                self.after(REST_MS, Happening::Repair(Repair::RollOut(Stage::Review)));
+            Stage::RemainingEngines(change) => {
+                self.is_rolling_out = false;
+                self.order_rollout(&change, FIRST_ENGINES..ENGINES);
+                self.schedule_after(
+                    REMAINING_DELAY_MS,
+                    SimEvent::Repair(Repair::Rollout(Stage::Review)),
+                );
             }
             Stage::Review => {
-                if !self.rolling_out && self.fitting_engines() < 2 {
-                    self.settle_profile();
+                if !self.is_rolling_out && self.matching_engines() < 2 {
+                    self.set_profile_to_majority();
                 }
             }
         }
     }
 
-    fn order_change(&mut self, change: &Change, engines: std::ops::Range<usize>) {
+    fn order_rollout(&mut self, change: &RolloutChange, engines: std::ops::Range<usize>) {
         for at in engines {
             let order = match change {
-                Change::Version(version) => OrderKind::LoadModel {
+                RolloutChange::Version(version) => OrderKind::LoadModel {
                     model: self.model.model.clone(),
                     version: (*version).to_owned(),
                 },
-                Change::Adapter => OrderKind::LoadAdapter {
+                RolloutChange::Adapter => OrderKind::LoadAdapter {
                     adapter: ADAPTER.to_owned(),
                 },
-                Change::NoAdapter => OrderKind::UnloadAdapter {
+                RolloutChange::NoAdapter => OrderKind::UnloadAdapter {
                     adapter: ADAPTER.to_owned(),
                 },
             };
-            self.order(at, order);
+            self.order_target(at, order);
         }
     }
 
-    /// Engines that have what the profile says, according to their rows.
-    fn fitting_engines(&self) -> usize {
+    /// Number of engines that match the profile, according to their target rows.
+    fn matching_engines(&self) -> usize {
         let fits = |target: &Target| {
             let loaded = &target.loaded;
             let adapter = &self.model.adapter;
@@ -139,8 +143,8 @@
             .count()
     }
 
-    /// Operators settle on the version that most engines have or are ordered to load.
-    pub fn settle_profile(&mut self) {
+    /// Sets the profile to the version that most engines have or are ordered to load.
+    pub fn set_profile_to_majority(&mut self) {
         let versions: Vec<String> = (0..ENGINES)
             .filter_map(|at| self.ordered_version(at))
             .collect();
@@ -148,9 +152,9 @@
         let version = if count("2") > count("1") { "2" } else { "1" };
         version.clone_into(&mut self.model.version);
         self.model.adapter.clear();
-        self.rolling_out = false;
+        self.is_rolling_out = false;
         let profile = self.model.clone();
-        self.command(Command::ChangeProfile { profile });
+        self.execute_command(Command::ChangeProfile { profile });
     }
 
     fn ordered_version(&self, at: usize) -> Option<String> {
@@ -170,7 +174,7 @@
         })
     }
 
-    /// Row of a target as the table has it now.
+    /// Current table row of a target.
     pub fn target_row(&self, at: usize) -> Option<Target> {
         let row = self.table.row(&keys::target(&self.agents[at].name))?;
         let target: Versioned<Target> = serde_json::from_str(&row.value).ok()?;
--- a/examples/soak/setup.rs
+++ b/examples/soak/setup.rs
@@ -1,4 +1,4 @@
-//! The deployment: three entries, six engines and three plain services.
+//! Simulated deployment: three entries, six model engines and three plain targets.
 
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
@@ -30,8 +30,8 @@
 
 use crate::agents::AgentHost;
 use crate::entries::EntryHost;
-use crate::world::Node;
-use crate::world::World;
+use crate::simulation::Node;
+use crate::simulation::Simulation;
 
 pub const ENTRIES: usize = 3;
 pub const ENGINES: usize = 6;
@@ -41,9 +41,9 @@
 pub const PLAIN_SERVICE: &str = "mesa-refugios";
 pub const MODEL_PROFILE: &str = "bitacora";
 pub const PLAIN_PROFILE: &str = "mesa";
-/// Pairs in the prefix-cache index of an entry; few enough that the bound is reached.
+/// Limit of (prefix, target) pairs in an entry's prefix-cache index; low, so that runs reach it.
 pub const INDEX_LIMIT: usize = 300;
-/// Weight of a role change; low, so that roles change often.
+/// Cost weight of a role change in the planner; low, so that roles change often.
 const ROLE_CHANGE_WEIGHT: f64 = 0.2;
 /// Deadline of both profiles.
 pub const DEADLINE_MS: Duration = Duration::from_secs(10);
@@ -67,8 +67,8 @@
     entry.map(Node::Entry).or(agent.map(Node::Agent))
 }
 
-/// Names of the targets at the start.
-pub fn names() -> Vec<String> {
+/// Initial names of the targets.
+pub fn initial_names() -> Vec<String> {
     let name = |at| {
         let kind = if at < ENGINES { "engine" } else { "plain" };
         format!("{kind}-{at}")
@@ -119,7 +119,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn set_up(&mut self) {
         self.entries = (0..ENTRIES).map(|_| EntryHost::new()).collect();
         for at in 0..TARGETS {
@@ -157,15 +157,15 @@
             (ServiceKind::Plain, state)
         };
         let honours_fencing = at.is_multiple_of(2);
-        let seed = self.fresh();
+        let seed = self.random_id();
         let target = FakeTarget::new(kind, honours_fencing, base, self.ledger.clone(), seed);
         let name = self.names[at].clone();
         AgentHost::new(name, format!("host-{at}-{generation}"), generation, target)
     }
 
-    /// Guarded table of one process.
-    pub fn guarded(&mut self, cut: Rc<std::cell::Cell<bool>>) -> Rc<Guarded> {
-        let seed = self.fresh();
+    /// Creates the table client of one process, with its own retry budget.
+    pub fn guarded(&mut self, is_disconnected: Rc<std::cell::Cell<bool>>) -> Rc<Guarded> {
+        let seed = self.random_id();
         let now = self.now();
         let context = GuardContext {
             clock: self.clock.clone(),
@@ -176,12 +176,12 @@
             give_up_ms: Duration::from_secs(3),
             ..RetryOptions::default()
         };
-        let port = TablePort::new(self.table.clone(), cut);
+        let port = TablePort::new(self.table.clone(), is_disconnected);
         Rc::new(Guarded::new(Rc::new(port), options, context, seed))
     }
 
     pub fn executor(&mut self, table: Rc<Guarded>) -> Rc<Executor> {
-        let seed = self.fresh();
+        let seed = self.random_id();
         let timer = Rc::new(VirtualTimer(self.tasks.clone()));
         Rc::new(Executor::new(table, self.clock.clone(), timer, seed))
     }
@@ -210,12 +210,12 @@
             while let Some(command) = commands.pop_front() {
                 let request = CommandRequest {
                     command,
-                    reason: "set up".to_owned(),
+                    reason: "initial configuration".to_owned(),
                     if_revision: None,
                     dry_run: false,
                 };
                 let done = executor.execute("operator", &request).await;
-                assert!(done.is_ok(), "setting up failed: {done:?}");
+                assert!(done.is_ok(), "initial configuration failed: {done:?}");
             }
         });
         self.run_for(Duration::from_secs(1));
--- a/examples/soak/world.rs
+++ b/examples/soak/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated deployment and its event queue.
+//! Simulated deployment and the event loop that runs it in virtual time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -27,49 +27,49 @@
 
 use crate::agents::AgentHost;
 use crate::callers::CallerEvent;
-use crate::callers::Op;
-use crate::callers::Sub;
+use crate::callers::Operation;
+use crate::callers::SentRequest;
 use crate::checks::Goodput;
+use crate::commits::CommitObserver;
+use crate::dispatches::DispatchedAttempt;
 use crate::entries::EntryHost;
-use crate::facts::Facts;
-use crate::mix::Mix;
-use crate::net::Conn;
+use crate::mix::WorkloadMix;
+use crate::net::Connection;
 use crate::net::Frame;
-use crate::queue::Queue;
-use crate::repair::Repair;
+use crate::queue::EventQueue;
+use crate::repairs::Repair;
+use crate::setup::initial_names;
 use crate::setup::model_profile;
-use crate::setup::names;
-use crate::wrong::Sent;
 
-/// Length of one step.
+/// Interval at which faults are drawn and invariants are checked.
 pub const STEP_MS: Duration = Duration::from_millis(100);
-/// Lines of the trace that are kept.
-const TRACE_LINES: usize = 600;
+/// Number of most recent trace lines that are kept.
+const TRACE_LINE_LIMIT: usize = 600;
 
 /// A process of the deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Node {
-    /// Entry on the host with this number.
+    /// Entry process, by index.
     Entry(usize),
-    /// Agent of the target with this number.
+    /// Agent process, by index of its target.
     Agent(usize),
 }
 
-/// What a process is told.
+/// Event delivered to a process.
 #[derive(Debug)]
 pub enum Input {
     Entry(entry::core::Event),
     Agent(agent::Event),
 }
 
-/// What happens at a time.
-pub enum Happening {
+/// Event of the simulation, scheduled for a point in virtual time.
+pub enum SimEvent {
     Deliver(Node, Incarnation, Box<Input>),
-    Wake(Node, Incarnation),
+    Timer(Node, Incarnation),
     Resume(Node, Incarnation),
     Frame(usize, bool, Box<Frame>),
     Connect(usize, Incarnation, u64, String, std::net::SocketAddr),
-    Flush,
+    EndPartitions,
     PassOrder(usize, Incarnation, u64, Box<types::Order>),
     EngineState(usize, Incarnation),
     Caller(CallerEvent),
@@ -77,7 +77,7 @@
     Step,
 }
 
-/// Part of the run.
+/// Phase of the run, in chronological order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     WarmUp,
@@ -86,10 +86,10 @@
     Recovery,
 }
 
-/// Results of futures, for the process that waits for them.
+/// Results of completed futures, to be delivered to the process run that awaits them.
 pub type Results = Rc<RefCell<VecDeque<(Node, Incarnation, Input)>>>;
 
-pub struct World {
+pub struct Simulation {
     pub clock: Rc<ManualClock>,
     pub start: Instant,
     pub tasks: Rc<Tasks>,
@@ -97,34 +97,36 @@
     pub objects: Rc<FakeObjects>,
     pub hosts: FakeHosts,
     pub ledger: Rc<RefCell<Ledger>>,
-    pub facts: Rc<RefCell<Facts>>,
+    pub commits: Rc<RefCell<CommitObserver>>,
     pub results: Results,
-    queue: Queue,
+    queue: EventQueue,
     pub random: StdRng,
     pub entries: Vec<EntryHost>,
     pub agents: Vec<AgentHost>,
-    pub conns: Vec<Conn>,
-    pub conn_of: HashMap<(usize, Incarnation, u64), usize>,
-    /// Directions that are cut, and until when.
-    pub cuts: BTreeMap<(Node, Node), Instant>,
-    pub storm_until: Option<Instant>,
-    pub ops: Vec<Op>,
-    pub subs: HashMap<RequestId, Sub>,
-    pub not_run: Vec<RequestId>,
+    pub connections: Vec<Connection>,
+    pub connection_of: HashMap<(usize, Incarnation, u64), usize>,
+    /// Network partitions by direction (from, to), and when each ends.
+    pub partitions: BTreeMap<(Node, Node), Instant>,
+    pub datagram_faults_until: Option<Instant>,
+    pub operations: Vec<Operation>,
+    pub sent_requests: HashMap<RequestId, SentRequest>,
+    /// Requests that were refused as not run; none may ever run.
+    pub refused_not_run: Vec<RequestId>,
     pub phase: Phase,
-    pub offering: bool,
-    /// End of the last fault of the table.
-    pub table_disturbed: Instant,
-    pub planned: BTreeSet<usize>,
-    /// Names of the targets that have the slots now.
+    pub is_generating_load: bool,
+    /// Time of the last step during which the table was faulty.
+    pub last_table_fault: Instant,
+    /// Targets with a planned change in progress.
+    pub changing_targets: BTreeSet<usize>,
+    /// Current target name of each slot; a withdrawn target's slot gets a new name.
     pub names: Vec<String>,
-    /// Model profile as operators mean it to be.
+    /// Model profile that the operators intend to be in force.
     pub model: Profile,
-    pub rolling_out: bool,
-    pub mix: Mix,
-    /// Whether faults are rare now, and until when.
-    pub spell: Option<(bool, Instant)>,
-    pub sent: HashMap<AttemptId, Sent>,
+    pub is_rolling_out: bool,
+    pub mix: WorkloadMix,
+    /// Whether the current period has few faults, and when it ends.
+    pub fault_period: Option<(bool, Instant)>,
+    pub dispatches: HashMap<AttemptId, DispatchedAttempt>,
     pub faults: BTreeMap<&'static str, u64>,
     pub checked: BTreeMap<&'static str, u64>,
     pub counts: BTreeMap<&'static str, u64>,
@@ -132,7 +134,7 @@
     pub violations: Vec<String>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64) -> Self {
         let clock = Rc::new(ManualClock::new());
         let start = clock.now();
@@ -140,16 +142,16 @@
         let timer = Rc::new(VirtualTimer(tasks.clone()));
         let table = FakeTable::new(clock.clone(), timer.clone(), seed ^ 1);
         let objects = FakeObjects::new(clock.clone(), timer, seed ^ 2);
-        let facts = Rc::new(RefCell::new(Facts::default()));
-        let observer = facts.clone();
+        let commits = Rc::new(RefCell::new(CommitObserver::default()));
+        let observer = commits.clone();
         let stored = objects.clone();
         table.observe(Box::new(move |now, rows, transaction| {
-            let mut facts = observer.borrow_mut();
-            facts.committed(now, rows, transaction);
-            let unstored = crate::stores::unstored(&stored, transaction);
-            facts.violations.extend(unstored);
+            let mut commits = observer.borrow_mut();
+            commits.record_commit(now, rows, transaction);
+            let violations = crate::objects::unstored_objects(&stored, transaction);
+            commits.violations.extend(violations);
         }));
-        let mut world = Self {
+        let mut simulation = Self {
             clock,
             start,
             tasks,
@@ -157,60 +159,63 @@
             objects,
             hosts: FakeHosts::new(Duration::from_secs(1)),
             ledger: Rc::default(),
-            facts,
+            commits,
             results: Rc::default(),
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             random: StdRng::seed_from_u64(seed),
             entries: Vec::new(),
             agents: Vec::new(),
-            conns: Vec::new(),
-            conn_of: HashMap::new(),
-            cuts: BTreeMap::new(),
-            storm_until: None,
-            ops: Vec::new(),
-            subs: HashMap::new(),
-            not_run: Vec::new(),
+            connections: Vec::new(),
+            connection_of: HashMap::new(),
+            partitions: BTreeMap::new(),
+            datagram_faults_until: None,
+            operations: Vec::new(),
+            sent_requests: HashMap::new(),
+            refused_not_run: Vec::new(),
             phase: Phase::WarmUp,
-            offering: true,
-            table_disturbed: start,
-            planned: BTreeSet::new(),
-            names: names(),
+            is_generating_load: true,
+            last_table_fault: start,
+            changing_targets: BTreeSet::new(),
+            names: initial_names(),
             model: model_profile(),
-            rolling_out: false,
-            mix: Mix::new(),
-            spell: None,
-            sent: HashMap::new(),
+            is_rolling_out: false,
+            mix: WorkloadMix::new(),
+            fault_period: None,
+            dispatches: HashMap::new(),
             faults: BTreeMap::new(),
             checked: BTreeMap::new(),
             counts: BTreeMap::new(),
             trace: VecDeque::new(),
             violations: Vec::new(),
         };
-        world.set_up();
-        world
+        simulation.set_up();
+        simulation
     }
 
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    pub fn at(&mut self, at: Instant, what: Happening) {
-        self.queue.push(at, what);
+    pub fn schedule_at(&mut self, at: Instant, event: SimEvent) {
+        self.queue.push(at, event);
     }
 
-    pub fn after(&mut self, delay: Duration, what: Happening) {
+    pub fn schedule_after(&mut self, delay: Duration, event: SimEvent) {
         let at = self.now() + delay;
-        self.at(at, what);
+        self.schedule_at(at, event);
     }
 
-    pub fn later(&mut self, delay: Duration, node: Node, incarnation: Incarnation, input: Input) {
-        self.after(
-            delay,
-            Happening::Deliver(node, incarnation, Box::new(input)),
-        );
+    pub fn deliver_after(
+        &mut self,
+        delay: Duration,
+        node: Node,
+        incarnation: Incarnation,
+        input: Input,
+    ) {
+        self.schedule_after(delay, SimEvent::Deliver(node, incarnation, Box::new(input)));
     }
 
-    pub fn millis(&mut self, from: u64, to: u64) -> Duration {
+    pub fn random_ms(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_millis(self.random.random_range(from..to))
     }
 
@@ -218,31 +223,31 @@
         self.random.random_range(0..1_000) < permille
     }
 
-    pub fn fresh(&mut self) -> Incarnation {
+    pub fn random_id(&mut self) -> Incarnation {
         self.random.random_range(1..u64::MAX)
     }
 
-    pub fn note(&mut self, line: &str) {
-        // The trace ends with what led to the first violation.
+    pub fn log(&mut self, line: &str) {
+        // The trace stops at the first violation, so that it shows what led to it.
         if !self.violations.is_empty() {
             return;
         }
         let at = self.now().duration_since(self.start).as_secs_f64();
-        if self.trace.len() >= TRACE_LINES {
+        if self.trace.len() >= TRACE_LINE_LIMIT {
             self.trace.pop_front();
         }
         self.trace.push_back(format!("{at:9.3} {line}"));
     }
 
-    pub fn violation(&mut self, text: String) {
-        self.note(&format!("VIOLATION {text}"));
-        // The first ones tell the most.
+    pub fn record_violation(&mut self, text: String) {
+        self.log(&format!("VIOLATION {text}"));
+        // Later violations are mostly consequences of the first ones.
         if self.violations.len() < 20 {
             self.violations.push(text);
         }
     }
 
-    pub fn check(&mut self, name: &'static str) {
+    pub fn count_check(&mut self, name: &'static str) {
         *self.checked.entry(name).or_default() += 1;
     }
 
@@ -252,33 +257,33 @@
 
     /// Runs all phases and returns the measured goodput.
     pub fn run(&mut self, steps: u32) -> Goodput {
-        self.after(STEP_MS, Happening::Step);
-        self.offer_load();
+        self.schedule_after(STEP_MS, SimEvent::Step);
+        self.schedule_next_operation();
         self.run_for(Duration::from_secs(30));
         let before = self.goodput(Duration::from_secs(20));
         self.phase = Phase::Planned;
-        self.note("phase: planned changes");
+        self.log("phase: planned changes");
         self.run_for(Duration::from_secs(45));
         self.phase = Phase::Faults;
-        self.note("phase: faults");
+        self.log("phase: faults");
         self.run_for(STEP_MS * steps);
         self.phase = Phase::Recovery;
-        self.note("phase: recovery");
-        self.heal();
+        self.log("phase: recovery");
+        self.end_all_faults();
         self.run_for(Duration::from_secs(35));
-        // Operations that began from 15 s after the last fault on.
+        // Covers the operations that started at least 15 s after the last fault.
         let after = self.goodput(Duration::from_secs(20));
-        self.offering = false;
+        self.is_generating_load = false;
         self.run_for(Duration::from_mins(1));
         Goodput { before, after }
     }
 
-    pub fn run_for(&mut self, time: Duration) {
-        let end = self.now() + time;
+    pub fn run_for(&mut self, duration: Duration) {
+        let end = self.now() + duration;
         loop {
-            let event = self.queue.next();
-            let wake = self.tasks.next_wake();
-            let next = [event, wake].into_iter().flatten().min();
+            let event_at = self.queue.next();
+            let wake_at = self.tasks.next_wake();
+            let next = [event_at, wake_at].into_iter().flatten().min();
             let Some(at) = next.filter(|at| *at <= end) else {
                 break;
             };
@@ -286,14 +291,14 @@
                 .advance(at.saturating_duration_since(self.clock.now()));
             self.table.run_late();
             self.objects.run_late();
-            if wake.is_some_and(|wake| wake <= at) {
+            if wake_at.is_some_and(|wake_at| wake_at <= at) {
                 self.tasks.run_due();
                 self.drain_results();
             }
-            if event.is_some_and(|event| event <= at)
-                && let Some(what) = self.queue.pop()
+            if event_at.is_some_and(|event_at| event_at <= at)
+                && let Some(event) = self.queue.pop()
             {
-                self.happen(what);
+                self.handle_event(event);
                 self.drain_results();
             }
             if self.violations.len() >= 20 {
@@ -314,36 +319,36 @@
         }
     }
 
-    fn happen(&mut self, what: Happening) {
-        match what {
-            Happening::Deliver(node, incarnation, input) => {
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Deliver(node, incarnation, input) => {
                 self.deliver(node, incarnation, *input);
             }
-            Happening::Wake(node, incarnation) => self.wake(node, incarnation),
-            Happening::Resume(node, incarnation) => self.resume(node, incarnation),
-            Happening::Frame(conn, to_agent, frame) => self.frame_arrives(conn, to_agent, *frame),
-            Happening::Connect(entry, incarnation, link, target, address) => {
+            SimEvent::Timer(node, incarnation) => self.handle_timer(node, incarnation),
+            SimEvent::Resume(node, incarnation) => self.resume_process(node, incarnation),
+            SimEvent::Frame(conn, to_agent, frame) => self.deliver_frame(conn, to_agent, *frame),
+            SimEvent::Connect(entry, incarnation, link, target, address) => {
                 self.connect(entry, incarnation, link, &target, address);
             }
-            Happening::Flush => self.flush_cuts(),
-            Happening::PassOrder(target, incarnation, engine, order) => {
+            SimEvent::EndPartitions => self.end_expired_partitions(),
+            SimEvent::PassOrder(target, incarnation, engine, order) => {
                 self.pass_order(target, incarnation, engine, &order);
             }
-            Happening::EngineState(target, incarnation) => {
+            SimEvent::EngineState(target, incarnation) => {
                 self.report_engine_state(target, incarnation);
             }
-            Happening::Caller(event) => self.caller(event),
-            Happening::Repair(repair) => self.repair(repair),
-            Happening::Step => {
-                self.after(STEP_MS, Happening::Step);
-                self.swing();
-                self.step();
+            SimEvent::Caller(event) => self.handle_caller_event(event),
+            SimEvent::Repair(repair) => self.handle_repair(repair),
+            SimEvent::Step => {
+                self.schedule_after(STEP_MS, SimEvent::Step);
+                self.update_mix();
+                self.inject_step();
                 self.check_step();
             }
         }
     }
 
-    /// Hands an input to a process, or keeps it while the process is paused.
+    /// Delivers an input to a process, or queues it while the process is paused.
     pub fn deliver(&mut self, node: Node, incarnation: Incarnation, input: Input) {
         let now = self.now();
         match node {
@@ -357,7 +362,7 @@
                     return;
                 }
                 if let Input::Entry(event) = input {
-                    self.entry_event(at, event);
+                    self.handle_entry_event(at, event);
                 }
             }
             Node::Agent(at) => {
@@ -370,7 +375,7 @@
                     return;
                 }
                 if let Input::Agent(event) = input {
-                    self.agent_event(at, event);
+                    self.handle_agent_event(at, event);
                 }
             }
         }
--- a/examples/soak/wakes.rs
+++ b/examples/soak/timers.rs
@@ -1,28 +1,28 @@
-//! Timers of processes, and what they find when a pause ends.
+//! Process timers, and the delivery of queued inputs when a pause ends.
 
 use types::Incarnation;
 
-use crate::world::Happening;
-use crate::world::Input;
-use crate::world::Node;
-use crate::world::World;
+use crate::simulation::Input;
+use crate::simulation::Node;
+use crate::simulation::SimEvent;
+use crate::simulation::Simulation;
 
-impl World {
-    pub fn wake(&mut self, node: Node, incarnation: Incarnation) {
+impl Simulation {
+    pub fn handle_timer(&mut self, node: Node, incarnation: Incarnation) {
         let input = match node {
             Node::Entry(at) => {
                 let now = self.now();
                 let host = &mut self.entries[at];
-                // A wake that an earlier one has replaced would arm another one for good.
-                if !host.is_run(incarnation) || host.armed != Some(now) {
+                // Superseded timers are ignored; each would start another chain of timers.
+                if !host.is_run(incarnation) || host.next_timer != Some(now) {
                     return;
                 }
-                host.armed = None;
+                host.next_timer = None;
                 Input::Entry(entry::core::Event::Tick)
             }
             Node::Agent(at) => {
                 if self.agents[at].is_run(incarnation) {
-                    self.after(agent::TICK_MS, Happening::Wake(node, incarnation));
+                    self.schedule_after(agent::TICK_MS, SimEvent::Timer(node, incarnation));
                 }
                 Input::Agent(agent::Event::Tick)
             }
@@ -30,8 +30,8 @@
         self.deliver(node, incarnation, input);
     }
 
-    /// A pause has ended; everything that arrived in the meantime is read now.
-    pub fn resume(&mut self, node: Node, incarnation: Incarnation) {
+    /// Ends a pause and delivers the inputs that arrived during it.
+    pub fn resume_process(&mut self, node: Node, incarnation: Incarnation) {
         let now = self.now();
         let inbox = match node {
             Node::Entry(at) => {
@@ -49,7 +49,10 @@
                 std::mem::take(&mut host.inbox)
             }
         };
-        self.note(&format!("{node:?} goes on with {} events", inbox.len()));
+        self.log(&format!(
+            "{node:?} resumes with {} queued events",
+            inbox.len()
+        ));
         for input in inbox {
             self.deliver(node, incarnation, input);
         }
--- a/examples/soak/withdrawal.rs
+++ b/examples/soak/withdrawal.rs
@@ -1,37 +1,40 @@
-//! Withdrawal of targets by an operator, and hosts that come back under the name of one.
+//! Withdrawal of targets by operators, and agents that start under a withdrawn name.
 
 use types::OrderKind;
 use types::TargetState;
 
 use crate::agents::AgentHost;
-use crate::repair::Repair;
+use crate::repairs::Repair;
 use crate::setup::ENGINES;
 use crate::setup::TARGETS;
-use crate::world::Happening;
-use crate::world::World;
+use crate::simulation::SimEvent;
+use crate::simulation::Simulation;
 
-impl World {
-    /// An operator takes a target out of the fleet for good; another one gets its slot.
-    pub fn withdraw(&mut self) {
-        let at = self.pick(TARGETS);
+impl Simulation {
+    /// Withdraws a random target permanently; a new target later takes its slot.
+    pub fn order_withdrawal(&mut self) {
+        let at = self.random_index(TARGETS);
         let service = if at < ENGINES {
             0..ENGINES
         } else {
             ENGINES..TARGETS
         };
-        if service.clone().any(|at| self.planned.contains(&at)) {
+        if service
+            .clone()
+            .any(|at| self.changing_targets.contains(&at))
+        {
             return;
         }
-        self.planned.insert(at);
-        self.did("withdrawal ordered", &at.to_string());
-        self.order(at, OrderKind::Withdraw);
-        let delay = self.millis(7_000, 10_000);
-        self.after(delay, Happening::Repair(Repair::Withdraw(at)));
+        self.changing_targets.insert(at);
+        self.record_fault("withdrawal ordered", &at.to_string());
+        self.order_target(at, OrderKind::Withdraw);
+        let delay = self.random_ms(7_000, 10_000);
+        self.schedule_after(delay, SimEvent::Repair(Repair::Withdraw(at)));
     }
 
-    /// The slot of a withdrawn target is given to another one.
-    pub fn end_withdrawal(&mut self, at: usize) {
-        self.planned.remove(&at);
+    /// Gives the slot of a withdrawn target to a new target.
+    pub fn replace_withdrawn_target(&mut self, at: usize) {
+        self.changing_targets.remove(&at);
         if !self.is_withdrawn(at) {
             return;
         }
@@ -47,14 +50,15 @@
         target.is_some_and(|target| target.state == TargetState::Withdrawn)
     }
 
-    /// Before an agent starts: a withdrawn name is not used again, but some host tries.
-    pub fn take_new_name(&mut self, at: usize) {
+    /// Renames a withdrawn slot before its agent starts. Half of the time, the first start
+    /// keeps the withdrawn name, to check that such a run accepts no work.
+    pub fn rename_withdrawn_target(&mut self, at: usize) {
         if !self.is_withdrawn(at) {
             return;
         }
-        if !self.agents[at].reused && self.chance(500) {
+        if !self.agents[at].reuses_withdrawn_name && self.chance(500) {
             self.count("starts under a withdrawn name");
-            self.agents[at].reused = true;
+            self.agents[at].reuses_withdrawn_name = true;
             return;
         }
         let now = self.now();
@@ -65,17 +69,17 @@
         let kind = if at < ENGINES { "engine" } else { "plain" };
         self.names[at] = format!("{kind}-{at}-{generation}");
         self.count("withdrawn targets followed by new ones");
-        let fresh: AgentHost = self.new_agent_host(at, generation);
+        let new_host: AgentHost = self.new_agent_host(at, generation);
         self.hosts
-            .set(now, &fresh.host, Some(store::HostState::Live));
-        self.agents[at] = fresh;
+            .set(now, &new_host.host, Some(store::HostState::Live));
+        self.agents[at] = new_host;
     }
 
-    /// The run was started after its target was withdrawn.
-    pub fn check_reused(&mut self, at: usize) {
-        self.check("withdrawn names");
-        if self.agents[at].reused {
-            self.violation(format!(
+    /// Checks that a run started under a withdrawn name accepts no work.
+    pub fn check_withdrawn_name(&mut self, at: usize) {
+        self.count_check("withdrawn names");
+        if self.agents[at].reuses_withdrawn_name {
+            self.record_violation(format!(
                 "invariant 7: target {at} accepts work under a name that was withdrawn"
             ));
         }
