--- a/components/planner/src/decision.rs
+++ b/components/planner/src/decision.rs
@@ -112,8 +112,8 @@
         let figures = &self.figures;
         write!(
             f,
-            ": ratio of capacity to demand {:.2}, after the best change {:.2}; duration of the \
-             shift {:.0} s; expected gain {:.1} engine seconds, weighted cost {:.1} engine seconds",
+            ": capacity over demand {:.2}, after the best change {:.2}; the shift has lasted \
+             {:.0} s; expected gain {:.1} engine seconds, weighted cost {:.1}",
             figures.capacity,
             figures.capacity_after,
             figures.shift_s,
--- a/examples/soak/mix.rs
+++ b/examples/soak/mix.rs
@@ -104,7 +104,7 @@
             is_overload,
             until: Some(now + duration),
         };
-        self.count("workload mix changes");
+        self.count("swings of the mix");
         self.log(&format!(
             "workload mix: {class:?}, overload {is_overload}, for {duration:?}"
         ));
