--- a/components/agent/src/daemon/log.rs
+++ b/components/agent/src/daemon/log.rs
@@ -12,14 +12,14 @@
     let code = event.code();
     match event {
         LogEvent::Registered { applied } => {
-            info!(logger, "target row held"; "code" => code, "applied" => applied);
+            info!(logger, "target registered"; "code" => code, "applied" => applied);
         }
         LogEvent::TableFailed { step, detail } => {
             warn!(logger, "table call failed, will be retried";
                 "code" => code, "step" => *step, "detail" => detail);
         }
         LogEvent::Superseded { by } => {
-            error!(logger, "another run holds the target";
+            error!(logger, "another agent process has registered for the target";
                 "code" => code, "by" => format!("{by:016x}"));
         }
         LogEvent::Leaving { in_flight } => {
@@ -33,11 +33,11 @@
             info!(logger, "order started"; "code" => code, "number" => number, "kind" => kind);
         }
         LogEvent::OrderSent { number, kind } => {
-            info!(logger, "order passed to the engine";
+            info!(logger, "order sent to the engine";
                 "code" => code, "number" => number, "kind" => kind);
         }
         LogEvent::OrderFailed { number, detail } => {
-            warn!(logger, "order not taken by the engine";
+            warn!(logger, "order not accepted by the engine";
                 "code" => code, "number" => number, "detail" => detail);
         }
         LogEvent::OrderExecuted { number } => {
--- a/components/gateway/src/daemon/relay.rs
+++ b/components/gateway/src/daemon/relay.rs
@@ -31,7 +31,7 @@
         Err(HungUp) => return CallOutcome::Abandoned,
         Ok(None) => {
             return lost(
-                "the answer was interrupted: its body did not arrive before the deadline"
+                "the response was interrupted: its body did not arrive before the deadline"
                     .to_owned(),
             );
         }
--- a/components/gateway/src/log.rs
+++ b/components/gateway/src/log.rs
@@ -144,7 +144,7 @@
         }
         let dropped = self.buffer.take_dropped();
         if dropped > 0 {
-            warn!(self.logger, "log lines left out"; "code" => "CS5010", "count" => dropped);
+            warn!(self.logger, "log lines dropped"; "code" => "CS5010", "count" => dropped);
         }
         write(&self.logger, event);
     }
@@ -202,15 +202,15 @@
             warn!(logger, "older configuration ignored";
                 "code" => "CS5102", "version" => version, "in_force" => in_force);
         }
-        LogEvent::TargetChange { target, change } => info!(logger, "belief about a target changed";
+        LogEvent::TargetChange { target, change } => info!(logger, "target state changed";
             "code" => "CS5103", "target" => truncated(target),
             "belief" => format!("{change:?}").to_lowercase()),
         LogEvent::RowIgnored { row, detail } => warn!(logger, "row of the store ignored";
             "code" => "CS5104", "row" => truncated(row), "detail" => truncated(detail)),
-        LogEvent::StoreUnavailable { detail } => warn!(logger, "store lost";
+        LogEvent::StoreUnavailable { detail } => warn!(logger, "store unavailable";
             "code" => "CS5105", "detail" => truncated(detail)),
-        LogEvent::StoreAvailable => info!(logger, "store regained"; "code" => "CS5106"),
-        LogEvent::PeerMessageIgnored { detail } => warn!(logger, "message of a peer ignored";
+        LogEvent::StoreAvailable => info!(logger, "store available again"; "code" => "CS5106"),
+        LogEvent::PeerMessageIgnored { detail } => warn!(logger, "message between peers rejected";
             "code" => "CS5107", "detail" => truncated(detail)),
         LogEvent::RequestRouted {
             request,
