--- a/components/gateway/src/history.rs
+++ b/components/gateway/src/request_history.rs
@@ -62,7 +62,7 @@
 
 /// Lines about a request in order of time; empty if no line has its id.
 #[must_use]
-pub fn history<'a>(log: impl IntoIterator<Item = &'a str>, request: &str) -> Vec<String> {
+pub fn request_history<'a>(log: impl IntoIterator<Item = &'a str>, request: &str) -> Vec<String> {
     let lines: Vec<Line> = log.into_iter().filter_map(Line::parse).collect();
     let is_own = |line: &&Line| line.field("request") == request;
     let Some(first_s) = lines.iter().find(is_own).map(|line| line.at_s) else {
--- a/components/standin/src/feed_store.rs
+++ b/components/standin/src/feed_store.rs
@@ -132,7 +132,7 @@
     }
 
     /// Drops the change history but keeps the rows. Feed requests after an older version get 410.
-    pub fn drop_history(&self) {
+    pub fn discard_history(&self) {
         let mut state = self.state.borrow_mut();
         state.dropped_version = state.version;
         state.changes.clear();
--- a/examples/gateways/faults.rs
+++ b/examples/gateways/faults.rs
@@ -130,7 +130,7 @@
                 ("store busy", Some(Repair::Store))
             }
             8 => {
-                bed.store.drop_history();
+                bed.store.discard_history();
                 version += random.random_range(1..5);
                 bed.configure(version, &[]);
                 ("configuration changed without history", None)
--- a/src/cmd/inspect.rs
+++ b/src/cmd/inspect.rs
@@ -44,7 +44,7 @@
         result.map_err(|error| Failure::new(EXIT_USAGE, format!("{}: {error}", file.display())))?;
         log.push('\n');
     }
-    let history = gateway::history::history(log.lines(), request);
+    let history = gateway::request_history::request_history(log.lines(), request);
     if history.is_empty() {
         let message = format!("no log line mentions request {request}");
         return Err(Failure::new(EXIT_NOT_FOUND, message));
