--- a/components/agent/src/daemon/start.rs
+++ b/components/agent/src/daemon/start.rs
@@ -82,7 +82,7 @@
         service: target.service.clone(),
         kind: target.kind,
         host: settings.host.clone(),
-        place: settings.place.clone(),
+        data_centre: settings.data_centre.clone(),
         started_wall_ms: wall_ms(),
         honours_fencing: target.honours_fencing,
         concurrency,
--- a/components/agent/src/limits.rs
+++ b/components/agent/src/limits.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use types::DataCentre;
 use types::HostName;
 use types::Incarnation;
-use types::Place;
 use types::ServiceKind;
 use types::ServiceName;
 use types::TargetName;
@@ -48,7 +48,7 @@
     /// Host of the agent and its target.
     pub host: HostName,
     /// Data centre of the host.
-    pub place: Place,
+    pub data_centre: DataCentre,
     /// Address at which entries reach the agent.
     pub address: std::net::SocketAddr,
     /// Incarnation of this process.
@@ -105,7 +105,7 @@
             service: String::new(),
             kind: ServiceKind::Model,
             host: String::new(),
-            place: String::new(),
+            data_centre: String::new(),
             address,
             incarnation,
             started_wall_ms: Duration::ZERO,
--- a/components/agent/src/registration.rs
+++ b/components/agent/src/registration.rs
@@ -86,7 +86,7 @@
             name: limits.target.clone(),
             service: limits.service.clone(),
             kind: limits.kind,
-            place: limits.place.clone(),
+            data_centre: limits.data_centre.clone(),
             host: limits.host.clone(),
             agent: limits.address,
             incarnation: limits.incarnation,
--- a/components/entry/src/core/share.rs
+++ b/components/entry/src/core/share.rs
@@ -2,9 +2,9 @@
 //!
 //! This entry ranks the targets of a service by rendezvous hashing and uses those with the highest
 //! scores. So that no target is left without entries, each target is also in the share of the two
-//! entries that score highest for it. At least two targets of each place are in the share. While
-//! no target in the share is usable, it doubles every 2 s up to the whole service. It returns to
-//! its regular size after a minute in which a target of the regular share was usable. The entry
+//! entries that score highest for it. At least two targets of each data centre are in the share.
+//! While no target in the share is usable, it doubles every 2 s up to the whole service. It returns
+//! to its regular size after a minute in which a target of the regular share was usable. The entry
 //! that plans for a service uses all of its targets, as role decisions depend on all of them.
 
 use std::cmp::Reverse;
@@ -15,7 +15,7 @@
 use std::time::Instant;
 
 use control::rendezvous;
-use types::Place;
+use types::DataCentre;
 use types::ServiceName;
 use types::Target;
 use types::TargetName;
@@ -24,9 +24,9 @@
 /// Entries that use a target whatever its rank. With only one, the loss of that entry would leave
 /// targets unused.
 const MIN_ENTRIES_PER_TARGET: usize = 2;
-/// Targets of each place in the share, so that the other places still have some after the loss of
-/// a place.
-const MIN_TARGETS_PER_PLACE: usize = 2;
+/// Targets of each data centre in the share, so that the others still have some after the loss of
+/// a data centre.
+const MIN_TARGETS_PER_DATA_CENTRE: usize = 2;
 /// Time without a usable target before the share doubles, equal to the probe timeout.
 const WIDEN_MS: Duration = Duration::from_secs(2);
 /// Time with a usable target in the regular share before a widened share is reduced.
@@ -35,7 +35,7 @@
 /// Target with its score for this entry.
 #[derive(Debug, Clone)]
 struct RankedTarget {
-    place: Place,
+    data_centre: DataCentre,
     is_withdrawn: bool,
     is_required_here: bool,
     score: u64,
@@ -185,7 +185,7 @@
             .iter()
             .filter(|other| rendezvous::score(key, **other) > own_score);
         RankedTarget {
-            place: target.place.clone(),
+            data_centre: target.data_centre.clone(),
             is_withdrawn: target.state == TargetState::Withdrawn,
             is_required_here: higher_scores.count() < MIN_ENTRIES_PER_TARGET,
             score: own_score,
@@ -198,13 +198,15 @@
     fn select_targets(&mut self, limit: usize) -> BTreeSet<TargetName> {
         let mut ranked: Vec<(&TargetName, &RankedTarget)> = self.targets.iter().collect();
         ranked.sort_by_key(|(name, r)| (r.is_withdrawn, Reverse(r.score), *name));
-        let mut targets_by_place: BTreeMap<&Place, usize> = BTreeMap::new();
+        let mut targets_by_data_centre: BTreeMap<&DataCentre, usize> = BTreeMap::new();
         let mut required = Vec::new();
         let mut optional = Vec::new();
         for (name, ranked) in ranked {
-            let count = targets_by_place.entry(&ranked.place).or_default();
+            let count = targets_by_data_centre
+                .entry(&ranked.data_centre)
+                .or_default();
             *count += 1;
-            let is_required = ranked.is_required_here || *count <= MIN_TARGETS_PER_PLACE;
+            let is_required = ranked.is_required_here || *count <= MIN_TARGETS_PER_DATA_CENTRE;
             if is_required && !ranked.is_withdrawn {
                 required.push(name);
             } else {
--- a/components/entry/src/options.rs
+++ b/components/entry/src/options.rs
@@ -10,7 +10,7 @@
 #[must_use]
 pub fn core_options(settings: &EntrySettings) -> CoreOptions {
     let own_address = settings.addresses.peers;
-    let mut routing = routing::Settings::new(settings.place.clone());
+    let mut routing = routing::Settings::new(settings.data_centre.clone());
     routing.distance_ms.clone_from(&settings.distance_ms);
     CoreOptions {
         name: settings.name.clone(),
--- a/components/gateway/src/core/mod.rs
+++ b/components/gateway/src/core/mod.rs
@@ -19,8 +19,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use smallvec::SmallVec;
+use types::DataCentre;
 use types::Incarnation;
-use types::Place;
 use types::ServiceName;
 use types::TargetName;
 
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct CoreSettings {
     /// Data centre of this process.
-    pub data_centre: Place,
+    pub data_centre: DataCentre,
     /// Retries that a service allows, over all gateway processes.
     pub repeats: RepeatAllowance,
     /// Lower bound on the number of processes that the allowance is divided by.
--- a/components/gateway/src/deployment.rs
+++ b/components/gateway/src/deployment.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use smallvec::SmallVec;
+use types::DataCentre;
 use types::HostName;
-use types::Place;
 use types::Role;
 use types::ServiceName;
 use types::TargetName;
@@ -136,7 +136,7 @@
     /// Where requests are sent.
     pub address: SocketAddr,
     /// Data centre of its host.
-    pub data_centre: Place,
+    pub data_centre: DataCentre,
     /// Most requests that the target serves at once.
     pub slots: u32,
     /// Draining: the target finishes its requests and takes no new ones.
--- a/components/gateway/src/placement.rs
+++ b/components/gateway/src/placement.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use smallvec::SmallVec;
-use types::Place;
+use types::DataCentre;
 use types::Role;
 use types::TargetName;
 
@@ -166,7 +166,7 @@
     prefix_index: &PrefixIndex,
     facts: &EngineFacts,
     request: &PlacementRequest<'_>,
-    source_data_centre: &Place,
+    source_data_centre: &DataCentre,
     now: Instant,
 ) -> Option<TargetName> {
     let candidates = targets.iter().filter(|state| {
@@ -201,7 +201,7 @@
 #[must_use]
 pub fn choose_plain_target(
     targets: &[&TargetState],
-    own_data_centre: &Place,
+    own_data_centre: &DataCentre,
     tried_targets: &[TargetName],
     draw: u64,
 ) -> Option<TargetName> {
--- a/components/gateway/src/settings.rs
+++ b/components/gateway/src/settings.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use types::DataCentre;
 use types::HostName;
-use types::Place;
 
 use crate::repeats::RepeatAllowance;
 
@@ -14,7 +14,7 @@
     /// Name of the host, unique within the deployment.
     pub host: HostName,
     /// Data centre of the host.
-    pub data_centre: Place,
+    pub data_centre: DataCentre,
     /// Listen address for callers.
     pub callers: SocketAddr,
     /// Listen address for the load balancer's readiness probes.
--- a/components/routing/src/fleet.rs
+++ b/components/routing/src/fleet.rs
@@ -144,7 +144,7 @@
         }
         let member = &mut self.members[position];
         member.pool = pool;
-        member.one_way_ms = self.settings.one_way_latency(&target.place);
+        member.one_way_ms = self.settings.one_way_latency(&target.data_centre);
         member.is_host_leaving = self.leaving_hosts.contains(&target.host);
         if is_restarted {
             member.restart(target.incarnation, holder);
--- a/components/routing/src/member.rs
+++ b/components/routing/src/member.rs
@@ -62,7 +62,7 @@
 
 impl Member {
     pub fn new(target: Target, pool: usize, holder: Holder, settings: &Settings) -> Self {
-        let one_way_ms = settings.one_way_latency(&target.place);
+        let one_way_ms = settings.one_way_latency(&target.data_centre);
         Self {
             target,
             pool,
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use types::Place;
+use types::DataCentre;
 use types::Role;
 
 /// Speed of an engine in a role.
@@ -64,11 +64,11 @@
 /// Settings of [`crate::Fleet`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Place (data centre) of this entry.
-    pub place: Place,
-    /// One-way network latency to other places.
-    pub distance_ms: BTreeMap<Place, Duration>,
-    /// One-way network latency to places not in `distance_ms`.
+    /// Data centre of this entry.
+    pub data_centre: DataCentre,
+    /// One-way network latency to other data centres.
+    pub distance_ms: BTreeMap<DataCentre, Duration>,
+    /// One-way network latency to data centres not in `distance_ms`.
     pub default_distance_ms: Duration,
     /// Time since the last answered probe after which a target gets no new work.
     pub probe_timeout_ms: Duration,
@@ -99,11 +99,11 @@
 }
 
 impl Settings {
-    /// Default settings of an entry in a place.
+    /// Default settings of an entry in a data centre.
     #[must_use]
-    pub fn new(place: impl Into<Place>) -> Self {
+    pub fn new(data_centre: impl Into<DataCentre>) -> Self {
         Self {
-            place: place.into(),
+            data_centre: data_centre.into(),
             distance_ms: BTreeMap::new(),
             default_distance_ms: Duration::from_micros(1_500),
             probe_timeout_ms: Duration::from_secs(2),
@@ -149,14 +149,14 @@
         }
     }
 
-    /// One-way network latency from this entry to a place.
+    /// One-way network latency from this entry to a data centre.
     #[must_use]
-    pub fn one_way_latency(&self, place: &str) -> Duration {
-        if place == self.place {
+    pub fn one_way_latency(&self, data_centre: &str) -> Duration {
+        if data_centre == self.data_centre {
             return Duration::ZERO;
         }
         self.distance_ms
-            .get(place)
+            .get(data_centre)
             .copied()
             .unwrap_or(self.default_distance_ms)
     }
--- a/components/settings/src/agent.rs
+++ b/components/settings/src/agent.rs
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use serde_with::DurationMilliSeconds;
 use serde_with::serde_as;
+use types::DataCentre;
 use types::HostName;
-use types::Place;
 use types::ServiceKind;
 use types::ServiceName;
 use types::TargetName;
@@ -36,7 +36,8 @@
     /// Region of the data centre.
     pub region: String,
     /// Data centre of the host.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub data_centre: DataCentre,
     /// Address on which the agent listens for entries, over TCP and UDP.
     pub listen: SocketAddr,
     /// Address at which entries reach the agent, if it differs from `listen`. The agent writes it
@@ -155,7 +156,7 @@
                 "must not be empty; use the name in the host list",
             ),
             (
-                !self.place.is_empty(),
+                !self.data_centre.is_empty(),
                 "place",
                 "must not be empty; use the name of the data centre",
             ),
@@ -200,7 +201,7 @@
             ("target", self.target != new.target),
             ("host", self.host != new.host),
             ("region", self.region != new.region),
-            ("place", self.place != new.place),
+            ("place", self.data_centre != new.data_centre),
             ("listen", self.listen != new.listen),
             ("advertise", self.advertise != new.advertise),
             ("platform", self.platform != new.platform),
--- a/components/settings/src/entry.rs
+++ b/components/settings/src/entry.rs
@@ -8,8 +8,8 @@
 use serde_with::DurationMilliSeconds;
 use serde_with::DurationMilliSecondsWithFrac;
 use serde_with::serde_as;
+use types::DataCentre;
 use types::HostName;
-use types::Place;
 
 use crate::peer::Peer;
 use crate::peer::validate_peers;
@@ -40,11 +40,12 @@
     /// Region of the data centre.
     pub region: String,
     /// Data centre of the host.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub data_centre: DataCentre,
     /// One-way latency to other data centres; those that are not listed count as 1.5 ms away.
     #[serde(default)]
     #[serde_as(as = "BTreeMap<_, DurationMilliSecondsWithFrac<f64>>")]
-    pub distance_ms: BTreeMap<Place, Duration>,
+    pub distance_ms: BTreeMap<DataCentre, Duration>,
     /// Addresses on which the entry listens.
     pub addresses: Addresses,
     /// Other entries; the entry's own address is ignored.
@@ -173,7 +174,7 @@
                 "must not be empty; use the name in the host list",
             ),
             (
-                !self.place.is_empty(),
+                !self.data_centre.is_empty(),
                 "place",
                 "must not be empty; use the name of the data centre",
             ),
@@ -231,7 +232,7 @@
             ("name", self.name != new.name),
             ("host", self.host != new.host),
             ("region", self.region != new.region),
-            ("place", self.place != new.place),
+            ("place", self.data_centre != new.data_centre),
             ("distance_ms", self.distance_ms != new.distance_ms),
             ("addresses", self.addresses != new.addresses),
             ("peers", !self.peer_addresses().eq(new.peer_addresses())),
--- a/components/types/src/ids.rs
+++ b/components/types/src/ids.rs
@@ -10,7 +10,7 @@
 /// Name of a host that runs a process of the system.
 pub type HostName = String;
 /// Name of a data centre, for example `lago-puelo`.
-pub type Place = String;
+pub type DataCentre = String;
 /// Name of a profile, unique within the deployment.
 pub type ProfileName = String;
 /// Name of a caller: its authenticated identity, or its IP address.
--- a/components/types/src/target.rs
+++ b/components/types/src/target.rs
@@ -5,10 +5,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::ids::DataCentre;
 use crate::ids::HostName;
 use crate::ids::Incarnation;
 use crate::ids::OrderNumber;
-use crate::ids::Place;
 use crate::ids::ServiceName;
 use crate::ids::TargetName;
 use crate::service::ServiceKind;
@@ -72,7 +72,8 @@
     /// Model engine or plain service.
     pub kind: ServiceKind,
     /// Data centre of the host.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub data_centre: DataCentre,
     /// Host that the target runs on.
     pub host: HostName,
     /// Address of the agent, for TCP and UDP.
--- a/examples/policy/policy.rs
+++ b/examples/policy/policy.rs
@@ -164,8 +164,8 @@
     disabled: &DisabledMechanisms,
     entry: usize,
 ) -> routing::Settings {
-    let place = scenario.places[entry % scenario.places.len()].clone();
-    let mut settings = routing::Settings::new(place);
+    let data_centre = scenario.data_centres[entry % scenario.data_centres.len()].clone();
+    let mut settings = routing::Settings::new(data_centre);
     settings.default_distance_ms = scenario.distance_between_places_ms;
     if disabled.has("five-samples") {
         settings.sample_count = 2;
--- a/examples/policy/scenario.rs
+++ b/examples/policy/scenario.rs
@@ -6,7 +6,7 @@
 use planner::Roles;
 use planner::fluid::ROLES;
 use planner::mix::token_ms;
-use types::Place;
+use types::DataCentre;
 use types::Role;
 
 /// Period in which the calls of one run arrive.
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub name: &'static str,
-    pub places: Vec<Place>,
+    pub data_centres: Vec<DataCentre>,
     pub engines: usize,
     pub entries: usize,
     pub distance_between_places_ms: Duration,
@@ -119,7 +119,7 @@
 fn el_bolson() -> Scenario {
     Scenario {
         name: "el-bolson",
-        places: places(&["bolson-centro", "lago-puelo", "mallin-ahogado"]),
+        data_centres: data_centres(&["bolson-centro", "lago-puelo", "mallin-ahogado"]),
         engines: 12,
         entries: 3,
         distance_between_places_ms: Duration::from_micros(1_500),
@@ -138,7 +138,7 @@
 fn kitagawa() -> Scenario {
     Scenario {
         name: "kitagawa",
-        places: places(&["sapporo-a", "sapporo-b", "asahikawa", "hakodate"]),
+        data_centres: data_centres(&["sapporo-a", "sapporo-b", "asahikawa", "hakodate"]),
         engines: 9,
         entries: 3,
         distance_between_places_ms: Duration::from_millis(1),
@@ -154,7 +154,7 @@
     }
 }
 
-fn places(names: &[&str]) -> Vec<Place> {
+fn data_centres(names: &[&str]) -> Vec<DataCentre> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
