--- a/components/gateway/src/core/mod.rs
+++ b/components/gateway/src/core/mod.rs
@@ -25,7 +25,7 @@
 use types::TargetName;
 
 use crate::deployment::Configuration;
-use crate::deployment::Notice;
+use crate::deployment::DeploymentUpdate;
 use crate::deployment::Repeat;
 use crate::fleet::Fleet;
 use crate::fleet::TargetChange;
@@ -159,33 +159,35 @@
     }
 
     /// Applies an update from the platform.
-    pub fn apply_update(&mut self, now: Instant, notice: Notice) {
-        match notice {
-            Notice::Configuration(configuration) => self.apply_configuration(configuration),
-            Notice::TargetWritten(entry) => {
+    pub fn apply_update(&mut self, now: Instant, update: DeploymentUpdate) {
+        match update {
+            DeploymentUpdate::Configuration(configuration) => {
+                self.apply_configuration(configuration);
+            }
+            DeploymentUpdate::TargetWritten(entry) => {
                 let name = entry.name.clone();
                 let change = self.fleet.write_entry(entry);
                 self.log_target_change(name, change);
             }
-            Notice::TargetRemoved(name) => {
+            DeploymentUpdate::TargetRemoved(name) => {
                 let change = self.fleet.remove_entry(now, &name);
                 self.log_target_change(name, change);
             }
-            Notice::AllTargets(entries) => {
+            DeploymentUpdate::TargetSnapshot(entries) => {
                 self.has_targets = true;
                 for (name, change) in self.fleet.replace_entries(now, entries) {
                     self.log_target_change(name, Some(change));
                 }
             }
-            Notice::Peers(_) => {}
-            Notice::Unreadable { row, detail } => {
+            DeploymentUpdate::Peers(_) => {}
+            DeploymentUpdate::RowIgnored { row, detail } => {
                 self.log_events.push(LogEvent::RowIgnored { row, detail });
             }
-            Notice::StoreLost { detail } => {
+            DeploymentUpdate::StoreUnavailable { detail } => {
                 self.fleet.set_store_unavailable();
                 self.log_events.push(LogEvent::StoreUnavailable { detail });
             }
-            Notice::StoreBack => {
+            DeploymentUpdate::StoreAvailable => {
                 self.fleet.set_store_available(now);
                 self.log_events.push(LogEvent::StoreAvailable);
             }
--- a/components/gateway/src/daemon/mod.rs
+++ b/components/gateway/src/daemon/mod.rs
@@ -31,7 +31,7 @@
 use crate::core::Core;
 use crate::core::CoreSettings;
 use crate::deployment::Deployment;
-use crate::deployment::Notice;
+use crate::deployment::DeploymentUpdate;
 use crate::deployment::PeerEntry;
 use crate::log::Log;
 use crate::log_event::LogEvent;
@@ -119,9 +119,9 @@
     daemon.spawn(tick(daemon.clone()));
     daemon.spawn(reload_settings(daemon.clone(), reload, adapter.reload));
     peers::start(&daemon).await?;
-    let sink: Rc<dyn Fn(Notice)> = {
+    let sink: Rc<dyn Fn(DeploymentUpdate)> = {
         let daemon = daemon.clone();
-        Rc::new(move |notice| daemon.apply_update(notice))
+        Rc::new(move |update| daemon.apply_update(update))
     };
     daemon.spawn(daemon.deployment.clone().follow(sink));
     monitoring::start(&daemon, ready, metrics);
@@ -148,7 +148,7 @@
             core.tick(now);
             core.fleet.is_polling_process(&daemon.settings.host)
         };
-        daemon.deployment.watch(is_polling_process);
+        daemon.deployment.set_frequent_polling(is_polling_process);
         daemon.process_core_output();
         daemon.recorder.run_upkeep();
     }
@@ -207,12 +207,12 @@
         self.process_core_output();
     }
 
-    fn apply_update(self: &Rc<Self>, notice: Notice) {
-        if let Notice::Peers(peers) = &notice {
+    fn apply_update(self: &Rc<Self>, update: DeploymentUpdate) {
+        if let DeploymentUpdate::Peers(peers) = &update {
             self.peers.replace(peers.clone());
         }
         let now = self.clock.now();
-        self.core.borrow_mut().apply_update(now, notice);
+        self.core.borrow_mut().apply_update(now, update);
         self.process_core_output();
     }
 
--- a/components/gateway/src/daemon/peers.rs
+++ b/components/gateway/src/daemon/peers.rs
@@ -18,7 +18,7 @@
 
 use crate::core::PrefillReport;
 use crate::daemon::Daemon;
-use crate::deployment::NewsVersion;
+use crate::deployment::ChangeVersion;
 use crate::deployment::PeerEntry;
 use crate::fleet::Load;
 use crate::fleet::PeerLoad;
@@ -48,7 +48,7 @@
     host: HostName,
     incarnation: Incarnation,
     /// Version of the newest change in the store that the sender has applied.
-    known: NewsVersion,
+    known: ChangeVersion,
     loads: Vec<TargetLoad>,
     #[serde(rename = "readings")]
     prefills: Vec<Prefill>,
@@ -115,7 +115,7 @@
     if message.incarnation == core.incarnation() {
         return;
     }
-    daemon.deployment.peer_knows(message.known);
+    daemon.deployment.set_peer_version(message.known);
     daemon.add_peer(&message.host, sender);
     let loads = message.loads.iter().map(|load| PeerLoad {
         key: load.key,
@@ -157,9 +157,10 @@
         Timer::after(send_interval_ms(peers)).await;
         let loads = own_loads(&daemon);
         let prefill_reports = daemon.core.borrow_mut().take_prefill_reports();
-        let known = daemon.deployment.known();
-        let is_unchanged =
-            prefill_reports.is_empty() && loads == last_loads && known == last_known_version;
+        let known_version = daemon.deployment.known_version();
+        let is_unchanged = prefill_reports.is_empty()
+            && loads == last_loads
+            && known_version == last_known_version;
         let now = daemon.clock.now();
         if is_unchanged && now.saturating_duration_since(sent) < HEARTBEAT_MS {
             continue;
@@ -169,7 +170,7 @@
             broadcast(&daemon, &socket, loads.clone(), prefills).await;
         }
         last_loads = loads;
-        last_known_version = known;
+        last_known_version = known_version;
     }
 }
 
@@ -222,7 +223,7 @@
         format: FORMAT,
         host: daemon.settings.host.clone(),
         incarnation: daemon.core.borrow().incarnation(),
-        known: daemon.deployment.known(),
+        known: daemon.deployment.known_version(),
         loads,
         prefills,
     };
--- a/components/gateway/src/deployment.rs
+++ b/components/gateway/src/deployment.rs
@@ -1,6 +1,7 @@
 //! Configuration, targets and peers of the deployment, as the platform reports them.
 //!
-//! An adapter decodes the platform's messages into these types and sends them as [`Notice`]s.
+//! An adapter decodes the platform's messages into these types and sends them as
+//! [`DeploymentUpdate`]s.
 //! [`crate::fleet`] decides on a target's state when notices are missing or contradict each other.
 
 use std::collections::BTreeMap;
@@ -18,7 +19,7 @@
 /// Version of the whole configuration.
 pub type ConfigurationVersion = u64;
 /// Version of the newest change in the store that a process has applied; one counter for all rows.
-pub type NewsVersion = u64;
+pub type ChangeVersion = u64;
 /// Route, unique within a configuration.
 pub type RouteName = String;
 
@@ -156,7 +157,7 @@
 
 /// Update from the platform.
 #[derive(Debug, Clone)]
-pub enum Notice {
+pub enum DeploymentUpdate {
     /// The whole configuration was read.
     Configuration(Rc<Configuration>),
     /// A target's entry was written.
@@ -164,23 +165,23 @@
     /// A target's entry was removed or became unreadable.
     TargetRemoved(TargetName),
     /// Snapshot of all targets' entries.
-    AllTargets(Vec<TargetEntry>),
+    TargetSnapshot(Vec<TargetEntry>),
     /// Complete list of the other gateway processes.
     Peers(Vec<PeerEntry>),
     /// A row could not be decoded and was ignored.
-    Unreadable {
+    RowIgnored {
         /// Table and key.
         row: String,
         /// Cause.
         detail: String,
     },
     /// The store became unavailable: it does not answer, or it refuses requests.
-    StoreLost {
+    StoreUnavailable {
         /// Cause.
         detail: String,
     },
     /// The store is available again.
-    StoreBack,
+    StoreAvailable,
 }
 
 /// Source of updates about the deployment.
@@ -188,16 +189,16 @@
     /// Watches the platform until the process ends, and passes every update to `sink`.
     fn follow(
         self: Rc<Self>,
-        sink: Rc<dyn Fn(Notice)>,
+        sink: Rc<dyn Fn(DeploymentUpdate)>,
     ) -> std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
     /// Version of the newest change applied here; 0 before the first.
-    fn known(&self) -> NewsVersion;
+    fn known_version(&self) -> ChangeVersion;
 
     /// Tells that a peer has applied the changes up to `version`.
-    fn peer_knows(&self, version: NewsVersion);
+    fn set_peer_version(&self, version: ChangeVersion);
 
     /// Sets whether to poll often enough to detect at once that the platform has stopped answering.
     /// The other processes poll less often and rely on the versions that their peers report.
-    fn watch(&self, is_watching: bool);
+    fn set_frequent_polling(&self, is_enabled: bool);
 }
