--- a/components/gateway/src/core/active.rs
+++ b/components/gateway/src/core/active.rs
@@ -9,7 +9,7 @@
 use types::TargetName;
 
 use crate::deployment::EngineFacts;
-use crate::deployment::Repeat;
+use crate::deployment::RetryPolicy;
 use crate::deployment::Route;
 use crate::fleet::Fleet;
 use crate::fleet::Load;
@@ -77,6 +77,7 @@
 
     pub(super) fn may_run_again(&self) -> bool {
         self.runs == 0
-            || (self.route.repeat != Repeat::Once && self.runs < self.route.attempt_limit)
+            || (self.route.retry_policy != RetryPolicy::Once
+                && self.runs < self.route.attempt_limit)
     }
 }
--- a/components/gateway/src/core/conclude.rs
+++ b/components/gateway/src/core/conclude.rs
@@ -13,7 +13,7 @@
 use crate::core::decision::Ending;
 use crate::core::millis;
 use crate::core::plan;
-use crate::deployment::Repeat;
+use crate::deployment::RetryPolicy;
 use crate::log_event::LogEvent;
 use crate::protocol::Transfer;
 
@@ -159,7 +159,8 @@
                     ..
                 }
             );
-        let can_resume = active.route.repeat == Repeat::Resumable && active.last_event.is_some();
+        let can_resume =
+            active.route.retry_policy == RetryPolicy::Resumable && active.last_event.is_some();
         let is_over = !active.may_run_again()
             || active.time_left(now) < MIN_CALL_MS
             || (is_started && !can_resume);
--- a/components/gateway/src/core/mod.rs
+++ b/components/gateway/src/core/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::deployment::Configuration;
 use crate::deployment::DeploymentUpdate;
-use crate::deployment::Repeat;
+use crate::deployment::RetryPolicy;
 use crate::fleet::Fleet;
 use crate::fleet::TargetChange;
 use crate::fleet::TargetKey;
@@ -36,8 +36,8 @@
 use crate::protocol::CallerRequest;
 use crate::protocol::ModelWork;
 use crate::protocol::Transfer;
-use crate::repeats::RepeatAllowance;
-use crate::repeats::RetryBudget;
+use crate::retries::RetryAllowance;
+use crate::retries::RetryBudget;
 use crate::routes;
 
 use self::active::ActiveRequest;
@@ -60,9 +60,9 @@
     /// Data centre of this process.
     pub data_centre: DataCentre,
     /// Retries that a service allows, over all gateway processes.
-    pub repeats: RepeatAllowance,
+    pub retries: RetryAllowance,
     /// Lower bound on the number of processes that the allowance is divided by.
-    pub least_processes: usize,
+    pub min_processes: usize,
 }
 
 /// A prefill that was started here, to be reported to the peers.
@@ -284,7 +284,7 @@
             prompt_tokens,
             output_tokens,
         });
-        let allowance = self.settings.repeats;
+        let allowance = self.settings.retries;
         let budget = self.budgets.entry(active.service.clone()).or_default();
         budget.count_request(now, &allowance);
         self.requests.insert(number, active);
@@ -310,7 +310,7 @@
         let Some(active) = self.requests.get(&number) else {
             return false;
         };
-        let has_retry_left = active.route.repeat == Repeat::Idempotent
+        let has_retry_left = active.route.retry_policy == RetryPolicy::Idempotent
             && active.runs + 1 < active.route.attempt_limit
             && active.time_left(now) >= MIN_CALL_MS;
         let targets = self.fleet.usable(&active.service, now).len();
@@ -322,8 +322,8 @@
     }
 
     fn retries_left(&mut self, now: Instant, service: &ServiceName) -> u32 {
-        let processes = (self.fleet.peer_count() + 1).max(self.settings.least_processes);
-        let allowance = self.settings.repeats;
+        let processes = (self.fleet.peer_count() + 1).max(self.settings.min_processes);
+        let allowance = self.settings.retries;
         let budget = self.budgets.entry(service.clone()).or_default();
         budget.left(now, &allowance, processes)
     }
--- a/components/gateway/src/core/plan.rs
+++ b/components/gateway/src/core/plan.rs
@@ -21,7 +21,7 @@
 use crate::core::decision::Ending;
 use crate::core::decision::NextCall;
 use crate::deployment::EngineFacts;
-use crate::deployment::Repeat;
+use crate::deployment::RetryPolicy;
 use crate::fleet::Load;
 use crate::log_event::LogEvent;
 use crate::placement;
@@ -107,7 +107,7 @@
         let Some(target) = target else {
             return Err(no_target());
         };
-        let has_retry_left = active.route.repeat == Repeat::Idempotent
+        let has_retry_left = active.route.retry_policy == RetryPolicy::Idempotent
             && active.runs + 1 < active.route.attempt_limit
             && targets.len() > 1;
         let left = active.time_left(now);
@@ -241,7 +241,7 @@
         }
         if !is_uncounted {
             if active.arrivals > 0 {
-                let allowance = self.settings.repeats;
+                let allowance = self.settings.retries;
                 let budget = self.budgets.entry(active.service.clone()).or_default();
                 budget.count_retry(now, &allowance);
             }
--- a/components/gateway/src/daemon/mod.rs
+++ b/components/gateway/src/daemon/mod.rs
@@ -174,8 +174,8 @@
     ) -> eyre::Result<Self> {
         let core_settings = CoreSettings {
             data_centre: settings.data_centre.clone(),
-            repeats: settings.repeats,
-            least_processes: settings.least_processes,
+            retries: settings.retries,
+            min_processes: settings.min_processes,
         };
         let incarnation = rand::rng().random::<u64>().max(1);
         Ok(Self {
--- a/components/gateway/src/deployment.rs
+++ b/components/gateway/src/deployment.rs
@@ -38,7 +38,7 @@
 
 /// Retry policy of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// A request may run more than once.
     Idempotent,
     /// A request may run at most once.
@@ -68,7 +68,7 @@
     /// Services that requests are split over by weight; a single one if there is no split.
     pub split: SmallVec<[Split; 2]>,
     /// Whether and how a request may be retried.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Longest time from arrival to the end of the answer.
     pub timeout_ms: Duration,
     /// Latency objective: time from arrival to the first byte.
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! Gateway: a reverse proxy that routes callers' requests directly to targets.
 //!
 //! [`core`] holds the state of each request and decides with [`routes`], [`admission`] and
-//! [`placement`]. State that outlives a request is in [`fleet`], [`prefixes`] and [`repeats`]. The
+//! [`placement`]. State that outlives a request is in [`fleet`], [`prefixes`] and [`retries`]. The
 //! daemon in [`daemon`] does all I/O on one thread. The protocols of the platform and of the
 //! targets are behind the traits in [`deployment`] and [`protocol`].
 
@@ -16,8 +16,8 @@
 pub mod placement;
 pub mod prefixes;
 pub mod protocol;
-pub mod repeats;
 pub mod request_history;
+pub mod retries;
 pub mod routes;
 pub mod settings;
 pub mod speed;
--- a/components/gateway/src/repeats.rs
+++ b/components/gateway/src/retries.rs
@@ -17,7 +17,7 @@
 
 /// Retries that a service allows, over all gateway processes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatAllowance {
+pub struct RetryAllowance {
     /// Retries per request.
     pub ratio: f64,
     /// Retries that are allowed however few requests there are.
@@ -26,7 +26,7 @@
     pub window_ms: Duration,
 }
 
-impl RepeatAllowance {
+impl RetryAllowance {
     /// Window of a process: one counter longer, as the oldest counter may begin before the window.
     fn counted_ms(&self) -> Duration {
         self.window_ms + window::SLOT_MS
@@ -41,25 +41,29 @@
 
 impl RetryBudget {
     /// Counts a request, which adds to the budget.
-    pub fn count_request(&mut self, now: Instant, allowance: &RepeatAllowance) {
-        self.window.current(now, allowance.counted_ms()).requests += 1;
+    pub fn count_request(&mut self, now: Instant, allowance: &RetryAllowance) {
+        self.window
+            .current_slot(now, allowance.counted_ms())
+            .requests += 1;
     }
 
     /// Counts a retry, which is taken from the budget.
-    pub fn count_retry(&mut self, now: Instant, allowance: &RepeatAllowance) {
-        self.window.current(now, allowance.counted_ms()).repeats += 1;
+    pub fn count_retry(&mut self, now: Instant, allowance: &RetryAllowance) {
+        self.window
+            .current_slot(now, allowance.counted_ms())
+            .retries += 1;
     }
 
     /// Retries left to this process if the allowance is divided by `processes`.
     #[must_use]
-    pub fn left(&mut self, now: Instant, allowance: &RepeatAllowance, processes: usize) -> u32 {
-        let Counts { requests, repeats } = self.window.counts(now, allowance.counted_ms());
+    pub fn left(&mut self, now: Instant, allowance: &RetryAllowance, processes: usize) -> u32 {
+        let Counts { requests, retries } = self.window.counts(now, allowance.counted_ms());
         let count = |value: u64| u32::try_from(value).unwrap_or(u32::MAX);
         let processes = u32::try_from(processes.max(1)).unwrap_or(u32::MAX);
         let own_slack = allowance.slack / f64::from(processes);
         let allowed = USED_FRACTION * (allowance.ratio * f64::from(count(requests)) + own_slack);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // positive and small
         let allowed = allowed.floor() as u32;
-        allowed.saturating_sub(count(repeats))
+        allowed.saturating_sub(count(retries))
     }
 }
--- a/components/gateway/src/settings.rs
+++ b/components/gateway/src/settings.rs
@@ -6,7 +6,7 @@
 use types::DataCentre;
 use types::HostName;
 
-use crate::repeats::RepeatAllowance;
+use crate::retries::RetryAllowance;
 
 /// Settings that differ between processes or deployments.
 #[derive(Debug, Clone, PartialEq)]
@@ -28,9 +28,9 @@
     /// File descriptors available for sockets.
     pub socket_limit: usize,
     /// Retries that services allow.
-    pub repeats: RepeatAllowance,
+    pub retries: RetryAllowance,
     /// Lower bound on the number of processes that the allowance is divided by.
-    pub least_processes: usize,
+    pub min_processes: usize,
     /// Time between the stop signal and the end of the process.
     pub stop_grace_ms: Duration,
 }
--- a/components/request/src/budget.rs
+++ b/components/request/src/budget.rs
@@ -27,17 +27,17 @@
 impl RetryBudget {
     /// Counts a request that was admitted.
     pub fn count_request(&mut self, now: Instant) {
-        self.window.current(now, WINDOW_MS).requests += 1;
+        self.window.current_slot(now, WINDOW_MS).requests += 1;
     }
 
     /// Takes one retry from the budget; returns false if none is left.
     pub fn try_take(&mut self, now: Instant) -> bool {
-        let Counts { requests, repeats } = self.window.counts(now, WINDOW_MS);
+        let Counts { requests, retries } = self.window.counts(now, WINDOW_MS);
         let allowed = (requests / REQUESTS_PER_RETRY).max(MIN_RETRIES);
-        if repeats >= allowed {
+        if retries >= allowed {
             return false;
         }
-        self.window.current(now, WINDOW_MS).repeats += 1;
+        self.window.current_slot(now, WINDOW_MS).retries += 1;
         true
     }
 }
--- a/components/request/src/window.rs
+++ b/components/request/src/window.rs
@@ -13,7 +13,7 @@
     /// Number of requests.
     pub requests: u64,
     /// Number of calls after the first call of each request.
-    pub repeats: u64,
+    pub retries: u64,
 }
 
 /// Sliding window of counts for one service.
@@ -24,7 +24,7 @@
 
 impl Window {
     /// Counts of the current slot; slots older than `width_ms` are removed.
-    pub fn current(&mut self, now: Instant, width_ms: Duration) -> &mut Counts {
+    pub fn current_slot(&mut self, now: Instant, width_ms: Duration) -> &mut Counts {
         self.expire(now, width_ms);
         let is_stale = self
             .slots
@@ -43,7 +43,7 @@
         let counters = || self.slots.iter().map(|(_, counts)| counts);
         Counts {
             requests: counters().map(|counts| counts.requests).sum(),
-            repeats: counters().map(|counts| counts.repeats).sum(),
+            retries: counters().map(|counts| counts.retries).sum(),
         }
     }
 
