--- a/components/gateway/src/core/decision.rs
+++ b/components/gateway/src/core/decision.rs
@@ -23,7 +23,7 @@
     pub call: Call,
     /// Where the target listens.
     pub address: SocketAddr,
-    /// Longest wait for the head of the answer; less than `call.left_ms` for prefills and if a
+    /// Longest wait for the head of the answer; less than `call.time_left_ms` for prefills and if a
     /// retry can follow.
     pub head_timeout_ms: Duration,
 }
--- a/components/gateway/src/core/mod.rs
+++ b/components/gateway/src/core/mod.rs
@@ -251,7 +251,7 @@
         let service = routes::service(&route, draw).cloned().unwrap_or_default();
         let facts = configuration.services.get(&service);
         let engine = facts.and_then(|facts| facts.engine);
-        let timeout = request.patience_ms.min(route.timeout_ms);
+        let timeout = request.timeout_ms.min(route.timeout_ms);
         let work = request.work.as_ref();
         let prompt_tokens = work.map_or(0, |work| work.prompt_tokens);
         let output_tokens = work.map_or(0, ModelWork::output_tokens);
--- a/components/gateway/src/core/plan.rs
+++ b/components/gateway/src/core/plan.rs
@@ -201,7 +201,7 @@
         placement: &Placement,
     ) -> Result<(), Ending> {
         let waited_ms = now.saturating_duration_since(active.received).as_secs_f64() * 1e3;
-        let objective_ms = active.route.aim_ms.as_secs_f64() * 1e3;
+        let objective_ms = active.route.latency_objective_ms.as_secs_f64() * 1e3;
         let estimate = LatencyEstimate {
             first_event_ms: placement.first_event_ms,
             wait_ms: placement.wait_ms,
@@ -209,7 +209,7 @@
             objective_left_ms: objective_ms - waited_ms,
             objective_ms,
             left_ms: active.time_left(now).as_secs_f64() * 1e3,
-            event_timeout_left_ms: active.route.silence_limit_ms.as_secs_f64() * 1e3 - waited_ms,
+            event_timeout_left_ms: active.route.event_timeout_ms.as_secs_f64() * 1e3 - waited_ms,
         };
         if active.runs > 0 || admission::is_admitted(&estimate) {
             return Ok(());
@@ -288,8 +288,8 @@
             call: Call {
                 step: planned.step,
                 target: planned.target,
-                left_ms: active.time_left(now),
-                urgency: active.route.priority.min(9),
+                time_left_ms: active.time_left(now),
+                priority: active.route.priority.min(9),
                 resume_after: active.last_event.clone(),
             },
             address,
--- a/components/gateway/src/daemon/callers.rs
+++ b/components/gateway/src/daemon/callers.rs
@@ -82,8 +82,8 @@
         };
         let head = daemon.protocol.call_head(&request, call);
         let client = daemon.client(next.address);
-        let left_ms = call.left_ms;
-        let deadline = daemon.clock.now() + left_ms;
+        let time_left_ms = call.time_left_ms;
+        let deadline = daemon.clock.now() + time_left_ms;
         let is_head = request.method == http_types::Method::Head;
         let is_own =
             |fields: &http_types::headers::Headers| daemon.protocol.is_own(fields, &request.id);
@@ -94,7 +94,7 @@
             .await;
         let outcome = match call_result {
             Err(_) => CallOutcome::Abandoned,
-            Ok(None) if next.head_timeout_ms < left_ms => CallOutcome::HeadTimedOut,
+            Ok(None) if next.head_timeout_ms < time_left_ms => CallOutcome::HeadTimedOut,
             Ok(None) => CallOutcome::TimedOut {
                 is_started: exchange.is_started(),
             },
--- a/components/gateway/src/deployment.rs
+++ b/components/gateway/src/deployment.rs
@@ -72,9 +72,9 @@
     /// Longest time from arrival to the end of the answer.
     pub timeout_ms: Duration,
     /// Latency objective: time from arrival to the first byte.
-    pub aim_ms: Duration,
+    pub latency_objective_ms: Duration,
     /// Time without an event after which callers give up, also before the first event.
-    pub silence_limit_ms: Duration,
+    pub event_timeout_ms: Duration,
     /// Priority at the engine; 0 is the highest.
     pub priority: u8,
     /// Most calls that may run one request, the first one included.
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -66,7 +66,7 @@
     /// Body to forward.
     pub body: Vec<u8>,
     /// Timeout of the caller.
-    pub patience_ms: Duration,
+    pub timeout_ms: Duration,
     /// Sizes of a model request; `None` for other requests.
     pub work: Option<ModelWork>,
     /// Id of the event after which the caller resumes a stream.
@@ -101,9 +101,9 @@
     /// Target that the call is meant for; another process at its address refuses.
     pub target: TargetName,
     /// Time left until the request's deadline.
-    pub left_ms: Duration,
+    pub time_left_ms: Duration,
     /// Priority at the engine, from 0, the highest, to 9.
-    pub urgency: u8,
+    pub priority: u8,
     /// Id of the event after which an interrupted stream is resumed; overrides the caller's.
     pub resume_after: Option<String>,
 }
