--- a/components/gateway/src/core/active.rs
+++ b/components/gateway/src/core/active.rs
@@ -8,7 +8,7 @@
 use types::ServiceName;
 use types::TargetName;
 
-use crate::deployment::EngineFacts;
+use crate::deployment::EngineSpec;
 use crate::deployment::RetryPolicy;
 use crate::deployment::Route;
 use crate::fleet::Fleet;
@@ -53,7 +53,7 @@
     pub(super) request: Rc<CallerRequest>,
     pub(super) route: Rc<Route>,
     pub(super) service: ServiceName,
-    pub(super) engine: Option<EngineFacts>,
+    pub(super) engine: Option<EngineSpec>,
     pub(super) hashes: SmallVec<[PrefixHash; 4]>,
     pub(super) received: Instant,
     pub(super) deadline: Instant,
--- a/components/gateway/src/core/conclude.rs
+++ b/components/gateway/src/core/conclude.rs
@@ -129,12 +129,12 @@
                     detail: "no answer before the request's deadline",
                 });
             }
-            CallOutcome::Prefilled(prefilled) => {
+            CallOutcome::Prefilled(result) => {
                 let state = target.as_ref().and_then(|target| self.fleet.get(target));
                 active.transfer = state.map(|state| Transfer {
-                    holder: state.entry.name.clone(),
+                    source: state.entry.name.clone(),
                     address: state.entry.address,
-                    name: prefilled.name.clone(),
+                    handle: result.handle.clone(),
                 });
                 return None;
             }
--- a/components/gateway/src/core/decision.rs
+++ b/components/gateway/src/core/decision.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::protocol::Call;
-use crate::protocol::Prefilled;
+use crate::protocol::PrefillResult;
 
 /// What to do next for a request.
 #[derive(Debug, Clone, PartialEq)]
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallOutcome {
     /// A prefill engine has processed the prompt.
-    Prefilled(Prefilled),
+    Prefilled(PrefillResult),
     /// The target states that it has not run the request.
     NotRun {
         /// Status of its answer.
--- a/components/gateway/src/core/mod.rs
+++ b/components/gateway/src/core/mod.rs
@@ -249,8 +249,8 @@
         };
         let draw = self.random.next_u64();
         let service = routes::service(&route, draw).cloned().unwrap_or_default();
-        let facts = configuration.services.get(&service);
-        let engine = facts.and_then(|facts| facts.engine);
+        let spec = configuration.services.get(&service);
+        let engine = spec.and_then(|spec| spec.engine);
         let timeout = request.timeout_ms.min(route.timeout_ms);
         let work = request.work.as_ref();
         let prompt_tokens = work.map_or(0, |work| work.prompt_tokens);
--- a/components/gateway/src/core/plan.rs
+++ b/components/gateway/src/core/plan.rs
@@ -20,7 +20,7 @@
 use crate::core::decision::Decision;
 use crate::core::decision::Ending;
 use crate::core::decision::NextCall;
-use crate::deployment::EngineFacts;
+use crate::deployment::EngineSpec;
 use crate::deployment::RetryPolicy;
 use crate::fleet::Load;
 use crate::log_event::LogEvent;
@@ -74,7 +74,7 @@
             return Decision::End(Ending::Done);
         };
         let planned = match (active.engine, active.request.work.is_some()) {
-            (Some(facts), true) => self.plan_model(now, &mut active, &facts),
+            (Some(spec), true) => self.plan_model(now, &mut active, &spec),
             _ => self.plan_plain(now, &active),
         };
         match planned {
@@ -123,7 +123,7 @@
         &mut self,
         now: Instant,
         active: &mut ActiveRequest,
-        facts: &EngineFacts,
+        spec: &EngineSpec,
     ) -> Result<PlannedCall, Ending> {
         let request = active.request.clone();
         let Some(work) = &request.work else {
@@ -136,13 +136,13 @@
             tried_targets: &active.tried_targets,
         };
         if let Some(transfer) = active.transfer.take() {
-            let source = self.fleet.get(&transfer.holder);
+            let source = self.fleet.get(&transfer.source);
             let source = source.map_or(&self.settings.data_centre, |s| &s.entry.data_centre);
             let prefix_index = &self.fleet.prefix_index;
             let target = placement::choose_decode_engine(
                 &targets,
                 prefix_index,
-                facts,
+                spec,
                 &placement_request,
                 source,
                 now,
@@ -160,7 +160,7 @@
         let placement = placement::choose_first_engine(
             &targets,
             &self.fleet.prefix_index,
-            facts,
+            spec,
             &placement_request,
             now,
         );
--- a/components/gateway/src/daemon/callers.rs
+++ b/components/gateway/src/daemon/callers.rs
@@ -201,8 +201,8 @@
             Ok(Err(error)) => CallOutcome::AnswerLost {
                 detail: error.to_string(),
             },
-            Ok(Ok(whole)) => match self.daemon.protocol.prefilled(&whole.body) {
-                Some(prefilled) if status == 200 => CallOutcome::Prefilled(prefilled),
+            Ok(Ok(whole)) => match self.daemon.protocol.prefill_result(&whole.body) {
+                Some(result) if status == 200 => CallOutcome::Prefilled(result),
                 _ => CallOutcome::AnswerLost {
                     detail: format!("status {status} without a valid prefill result"),
                 },
--- a/components/gateway/src/deployment.rs
+++ b/components/gateway/src/deployment.rs
@@ -31,7 +31,7 @@
     /// Routes, in the order in which operators wrote them.
     pub routes: Vec<Rc<Route>>,
     /// Services by name.
-    pub services: BTreeMap<ServiceName, ServiceFacts>,
+    pub services: BTreeMap<ServiceName, ServiceSpec>,
     /// Limits on callers' connections and requests.
     pub limits: CallerLimits,
 }
@@ -83,20 +83,20 @@
 
 /// Properties of a service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServiceFacts {
+pub struct ServiceSpec {
     /// Properties of the engines of a model service; `None` for plain services.
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineSpec>,
 }
 
 /// Properties that all engines of a model service share.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct EngineFacts {
+pub struct EngineSpec {
     /// Most requests in a batch.
     pub slots: u32,
     /// Capacity of the KV cache.
-    pub memory_tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Size of one token in the KV cache.
-    pub token_bytes: u64,
+    pub kv_token_bytes: u64,
     /// Bandwidth of the link between two engines.
     pub link_bits_per_s: f64,
 }
--- a/components/gateway/src/placement.rs
+++ b/components/gateway/src/placement.rs
@@ -13,7 +13,7 @@
 use types::Role;
 use types::TargetName;
 
-use crate::deployment::EngineFacts;
+use crate::deployment::EngineSpec;
 use crate::fleet::TargetState;
 use crate::prefixes::PrefixHash;
 use crate::prefixes::PrefixIndex;
@@ -75,7 +75,7 @@
 pub fn choose_first_engine(
     targets: &[&TargetState],
     prefix_index: &PrefixIndex,
-    facts: &EngineFacts,
+    spec: &EngineSpec,
     request: &PlacementRequest<'_>,
     now: Instant,
 ) -> Option<Placement> {
@@ -86,7 +86,7 @@
         !request.tried_targets.contains(&state.entry.name)
             && (state.entry.role != Role::Prefill || has_decode_engine)
     });
-    let placements = candidates.map(|state| score(state, prefix_index, facts, request, now));
+    let placements = candidates.map(|state| score(state, prefix_index, spec, request, now));
     let best = placements.min_by(|(a, _), (b, _)| a.total_cmp(b));
     best.map(|(_, placement)| placement)
 }
@@ -95,12 +95,12 @@
 fn score(
     state: &TargetState,
     prefix_index: &PrefixIndex,
-    facts: &EngineFacts,
+    spec: &EngineSpec,
     request: &PlacementRequest<'_>,
     now: Instant,
 ) -> (f64, Placement) {
     let prompt_tokens = f64::from(request.work.prompt_tokens);
-    let cached_tokens = cached_tokens(state, prefix_index, facts, request).min(prompt_tokens - 1.0);
+    let cached_tokens = cached_tokens(state, prefix_index, spec, request).min(prompt_tokens - 1.0);
     let work = PrefillWork {
         new_tokens: prompt_tokens - cached_tokens,
         prompt_tokens,
@@ -110,7 +110,7 @@
     let nominal_ms = work.duration_ms(state.entry.role, if is_prefill { 0.0 } else { runs });
     let own_ms = nominal_ms * state.slowdown();
     let transfer_ms = if is_prefill {
-        TRANSFER_SETUP_MS + transfer_ms(facts, prompt_tokens)
+        TRANSFER_SETUP_MS + transfer_ms(spec, prompt_tokens)
     } else {
         0.0
     };
@@ -144,19 +144,19 @@
 fn cached_tokens(
     state: &TargetState,
     prefix_index: &PrefixIndex,
-    facts: &EngineFacts,
+    spec: &EngineSpec,
     request: &PlacementRequest<'_>,
 ) -> f64 {
     let matching_prefixes =
-        prefix_index.matching_prefixes(state.instance, request.hashes, facts.memory_tokens);
+        prefix_index.matching_prefixes(state.instance, request.hashes, spec.kv_capacity_tokens);
     let parts = request.work.parts.iter().take(matching_prefixes);
     parts.map(|part| f64::from(part.tokens)).sum()
 }
 
 /// Time to transfer the KV cache of `tokens` over an idle link within a data centre.
 #[allow(clippy::cast_precision_loss)]
-fn transfer_ms(facts: &EngineFacts, tokens: f64) -> f64 {
-    tokens * facts.token_bytes as f64 * 8.0 / facts.link_bits_per_s * 1e3
+fn transfer_ms(spec: &EngineSpec, tokens: f64) -> f64 {
+    tokens * spec.kv_token_bytes as f64 * 8.0 / spec.link_bits_per_s * 1e3
 }
 
 /// Chooses the engine that decodes after a prefill on another engine.
@@ -164,7 +164,7 @@
 pub fn choose_decode_engine(
     targets: &[&TargetState],
     prefix_index: &PrefixIndex,
-    facts: &EngineFacts,
+    spec: &EngineSpec,
     request: &PlacementRequest<'_>,
     source_data_centre: &DataCentre,
     now: Instant,
@@ -181,11 +181,11 @@
         } else {
             1.0
         };
-        let missing = prompt_tokens - cached_tokens(state, prefix_index, facts, request);
-        let transfer_ms = factor * transfer_ms(facts, missing.max(0.0));
+        let missing = prompt_tokens - cached_tokens(state, prefix_index, spec, request);
+        let transfer_ms = factor * transfer_ms(spec, missing.max(0.0));
         // The first event follows a few steps after the KV cache has arrived.
         let start_ms = speed::step_ms(runs) * state.slowdown() * 2.0 + wait_ms * 2.0;
-        let full_ms = if runs >= f64::from(facts.slots) {
+        let full_ms = if runs >= f64::from(spec.slots) {
             1e4
         } else {
             0.0
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -16,7 +16,7 @@
 /// Request id that the caller sent.
 pub type CallerRequestId = String;
 /// Handle under which an engine holds the KV cache of a prompt for a transfer.
-pub type TransferName = String;
+pub type KvHandle = String;
 
 /// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -77,11 +77,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transfer {
     /// Engine that holds it.
-    pub holder: TargetName,
+    pub source: TargetName,
     /// Address of that engine.
     pub address: SocketAddr,
     /// Handle of the KV cache on that engine.
-    pub name: TransferName,
+    pub handle: KvHandle,
 }
 
 /// Step of a request that a target is called for.
@@ -121,9 +121,9 @@
 
 /// Answer of an engine to a prefill.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Prefilled {
+pub struct PrefillResult {
     /// Handle of the KV cache.
-    pub name: TransferName,
+    pub handle: KvHandle,
 }
 
 /// Encoding and decoding of message heads for one platform.
@@ -148,7 +148,7 @@
     fn answer_head(&self, status: u16, fields: &Headers) -> Response;
 
     /// Decodes the answer to [`Step::Prefill`]; `None` if it is invalid.
-    fn prefilled(&self, body: &[u8]) -> Option<Prefilled>;
+    fn prefill_result(&self, body: &[u8]) -> Option<PrefillResult>;
 
     /// Encodes the head of the call that releases the KV cache of a prompt.
     fn release_head(&self, transfer: &Transfer) -> Vec<u8>;
