--- a/components/gateway/src/daemon/callers.rs
+++ b/components/gateway/src/daemon/callers.rs
@@ -85,9 +85,10 @@
         let time_left_ms = call.time_left_ms;
         let deadline = daemon.clock.now() + time_left_ms;
         let is_head = request.method == http_types::Method::Head;
-        let is_own =
-            |fields: &http_types::headers::Headers| daemon.protocol.is_own(fields, &request.id);
-        let call_future = client.forward(&head, &request.body, is_head, is_own);
+        let is_answer_to = |fields: &http_types::headers::Headers| {
+            daemon.protocol.is_answer_to(fields, &request.id)
+        };
+        let call_future = client.forward(&head, &request.body, is_head, is_answer_to);
         let call_future = Box::pin(call_future);
         let call_result = exchange
             .or_hang_up(with_timeout(next.head_timeout_ms, call_future))
@@ -157,13 +158,13 @@
         deadline: std::time::Instant,
     ) -> CallOutcome {
         let status = u16::from(response.status);
-        let facts = self.daemon.protocol.facts(status, &response.headers);
-        if facts.not_run || facts.is_other_process {
+        let info = self.daemon.protocol.answer_info(status, &response.headers);
+        if info.is_not_run || info.is_other_process {
             // The connection can be reused only after the whole answer was read.
             let _ = exchange.or_hang_up(response.into_whole()).await;
             return CallOutcome::NotRun {
                 status,
-                is_other_process: facts.is_other_process,
+                is_other_process: info.is_other_process,
             };
         }
         if self.call.step == Step::Prefill {
@@ -171,7 +172,7 @@
         }
         let is_success = (200..300).contains(&status);
         let is_retryable_status = matches!(status, 408 | 421 | 429 | 503);
-        if is_retryable_status || (is_success && !facts.is_signed) {
+        if is_retryable_status || (is_success && !info.is_signed) {
             return CallOutcome::AnswerLost {
                 detail: format!("status {status} does not tell whether the request ran"),
             };
@@ -260,7 +261,7 @@
         let after = Duration::from_millis(after_ms);
         head.insert_header("retry-after", format!("{:.3}", after.as_secs_f64()));
     }
-    daemon.protocol.mark_own_answer(&mut head, &request.id);
+    daemon.protocol.add_request_id(&mut head, &request.id);
     // A failure means that the caller has disconnected.
     let _ = exchange.respond(head, &body).await;
 }
--- a/components/gateway/src/deployment.rs
+++ b/components/gateway/src/deployment.rs
@@ -131,7 +131,7 @@
     /// Name, unique within the deployment.
     pub name: TargetName,
     /// Start time of the process; another value under the same name means a restart.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
     /// Service that the target belongs to.
     pub service: ServiceName,
     /// Where requests are sent.
@@ -141,7 +141,7 @@
     /// Most requests that the target serves at once.
     pub slots: u32,
     /// Draining: the target finishes its requests and takes no new ones.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// Role of an engine: prefill, decode or both.
     pub role: Role,
 }
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -198,7 +198,7 @@
         self.targets.get(name)
     }
 
-    /// All targets, including those that are leaving or unhealthy.
+    /// All targets, including those that are draining or unhealthy.
     pub fn targets(&self) -> impl Iterator<Item = &TargetState> {
         self.targets.values()
     }
@@ -210,7 +210,7 @@
         let candidates = self
             .targets
             .values()
-            .filter(|state| state.entry.service == *service && !state.entry.is_leaving);
+            .filter(|state| state.entry.service == *service && !state.entry.is_draining);
         let (mut usable, unhealthy): (Vec<_>, Vec<_>) =
             candidates.partition(|state| state.is_healthy(now));
         let roles: Vec<_> = usable.iter().map(|state| state.entry.role).collect();
@@ -237,12 +237,12 @@
     /// Adds or updates a target. Returns what changed.
     pub fn write_entry(&mut self, entry: TargetEntry) -> Option<TargetChange> {
         if let Some(state) = self.targets.get_mut(&entry.name) {
-            let is_same_run =
-                state.entry.born_ms == entry.born_ms && state.entry.address == entry.address;
+            let is_same_run = state.entry.started_at_ms == entry.started_at_ms
+                && state.entry.address == entry.address;
             if is_same_run {
-                let was_leaving = std::mem::replace(&mut state.entry, entry).is_leaving;
+                let was_draining = std::mem::replace(&mut state.entry, entry).is_draining;
                 let was_missing = state.missing_since.take().is_some();
-                return match (was_leaving, state.entry.is_leaving) {
+                return match (was_draining, state.entry.is_draining) {
                     (false, true) => Some(TargetChange::Leaving),
                     (true, false) => Some(TargetChange::Back),
                     _ => was_missing.then_some(TargetChange::Back),
@@ -272,7 +272,7 @@
     pub fn remove_entry(&mut self, now: Instant, name: &str) -> Option<TargetChange> {
         let is_in_grace = self.is_in_grace_period(now);
         let state = self.targets.get_mut(name)?;
-        if is_in_grace && !state.entry.is_leaving {
+        if is_in_grace && !state.entry.is_draining {
             state.missing_since.get_or_insert(now);
             return Some(TargetChange::Missing);
         }
@@ -518,7 +518,7 @@
 fn target_key(entry: &TargetEntry) -> TargetKey {
     let mut hasher = blake3::Hasher::new();
     hasher.update(entry.name.as_bytes());
-    hasher.update(&entry.born_ms.to_le_bytes());
+    hasher.update(&entry.started_at_ms.to_le_bytes());
     let hash = hasher.finalize();
     let mut first = [0; 8];
     first.copy_from_slice(&hash.as_bytes()[..8]);
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -108,13 +108,13 @@
     pub resume_after: Option<String>,
 }
 
-/// Facts decoded from the head of a target's answer.
+/// Information decoded from the head of a target's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct AnswerInfo {
     /// The answer comes from a target and not from an intermediary.
     pub is_signed: bool,
     /// The target states that the request has not run and will not.
-    pub not_run: bool,
+    pub is_not_run: bool,
     /// Another process than the called target listens at the address.
     pub is_other_process: bool,
 }
@@ -139,10 +139,10 @@
     fn call_head(&self, request: &CallerRequest, call: &Call) -> Vec<u8>;
 
     /// Whether an answer is for the request with this id; guards against mixed-up connections.
-    fn is_own(&self, fields: &Headers, id: &CallerRequestId) -> bool;
+    fn is_answer_to(&self, fields: &Headers, id: &CallerRequestId) -> bool;
 
     /// Decodes the head of a target's answer.
-    fn facts(&self, status: u16, fields: &Headers) -> AnswerFacts;
+    fn answer_info(&self, status: u16, fields: &Headers) -> AnswerInfo;
 
     /// Head of the caller's answer, made from that of the target.
     fn answer_head(&self, status: u16, fields: &Headers) -> Response;
@@ -154,5 +154,5 @@
     fn release_head(&self, transfer: &Transfer) -> Vec<u8>;
 
     /// Adds the request id to an answer that the gateway generated itself.
-    fn mark_own_answer(&self, head: &mut Response, id: &CallerRequestId);
+    fn add_request_id(&self, head: &mut Response, id: &CallerRequestId);
 }
