--- a/components/entry/src/core/configuration.rs
+++ b/components/entry/src/core/configuration.rs
@@ -1,4 +1,5 @@
-//! Applies configuration snapshots to terms, targets, connections, order hints and leases.
+//! Applies configuration snapshots to service configurations, targets, connections, order hints and
+//! leases.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -6,7 +7,7 @@
 use control::FollowerAction;
 use control::FollowerEvent;
 use control::Snapshot;
-use request::Terms;
+use request::ServiceConfig;
 use store::HostEntry;
 use store::HostState;
 use store::StoreError;
@@ -53,7 +54,7 @@
 
     fn apply(&mut self, now: Instant, snapshot: &Rc<Snapshot>, actions: &mut Vec<Action>) {
         let previous = self.applied.replace(Rc::clone(snapshot));
-        self.set_terms(snapshot);
+        self.set_service_configs(snapshot);
         self.set_targets(now, previous.as_deref(), snapshot, actions);
         self.send_order_hints(now, previous.as_deref(), snapshot, actions);
         self.add_service_leases(now, snapshot);
@@ -64,18 +65,18 @@
         self.handle_request_event(now, request::Event::Tick, actions);
     }
 
-    fn set_terms(&mut self, snapshot: &Snapshot) {
-        self.terms.clear();
+    fn set_service_configs(&mut self, snapshot: &Snapshot) {
+        self.service_configs.clear();
         for (name, service) in snapshot.services() {
             let Some(profile) = snapshot.profile_of(name) else {
                 continue;
             };
-            let terms = Terms {
+            let service_config = ServiceConfig {
                 profile: Rc::new(profile.value.clone()),
                 revision: snapshot.revision(),
                 kind: service.value.kind,
             };
-            self.terms.insert(name.clone(), terms);
+            self.service_configs.insert(name.clone(), service_config);
         }
     }
 
--- a/components/entry/src/core/mod.rs
+++ b/components/entry/src/core/mod.rs
@@ -32,7 +32,7 @@
 use control::FollowerEvent;
 use control::Snapshot;
 use request::Requests;
-use request::Terms;
+use request::ServiceConfig;
 use types::HostName;
 use types::Incarnation;
 use types::RequestId;
@@ -71,7 +71,7 @@
     incarnation: Incarnation,
     request_counter: u64,
     follower: Follower,
-    terms: BTreeMap<ServiceName, Terms>,
+    service_configs: BTreeMap<ServiceName, ServiceConfig>,
     applied: Option<Rc<Snapshot>>,
     router: PlanningRouter,
     requests: Requests,
@@ -108,7 +108,7 @@
             incarnation,
             request_counter: 0,
             follower: Follower::new(options.follower, now, seed),
-            terms: BTreeMap::new(),
+            service_configs: BTreeMap::new(),
             applied: None,
             router: PlanningRouter::new(options.routing.clone(), seed),
             requests: Requests::new(incarnation, seed),
@@ -147,10 +147,10 @@
         request_id(self.incarnation, self.request_counter)
     }
 
-    /// Current terms of requests to a service: profile, revision and kind.
+    /// Current configuration of a service: profile, revision and kind.
     #[must_use]
-    pub fn terms(&self, service: &str) -> Option<&Terms> {
-        self.terms.get(service)
+    pub fn service_config(&self, service: &str) -> Option<&ServiceConfig> {
+        self.service_configs.get(service)
     }
 
     /// Latest configuration snapshot; `None` before the first one was read.
@@ -180,7 +180,7 @@
     /// Number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.requests.open()
+        self.requests.in_flight()
     }
 
     /// Number of pairs in the prefix-cache index.
@@ -296,7 +296,7 @@
     fn stop(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.leaving_since = Some(now);
         actions.push(Action::Note(Note::Stopping {
-            in_flight: self.requests.open(),
+            in_flight: self.requests.in_flight(),
         }));
         self.handle_request_event(now, request::Event::Leaving, actions);
         self.release_leases(now, actions);
--- a/components/entry/src/core/planning.rs
+++ b/components/entry/src/core/planning.rs
@@ -39,10 +39,10 @@
 
     fn plan(&mut self, now: Instant, held: HeldLease, actions: &mut Vec<Action>) {
         let service: ServiceName = held.scope.clone();
-        let Some(terms) = self.terms.get(&service) else {
+        let Some(service_config) = self.service_configs.get(&service) else {
             return;
         };
-        let weight = terms.profile.role_change_weight;
+        let weight = service_config.profile.role_change_weight;
         let Some(decision) = self.router.consider(now, &service, weight) else {
             return;
         };
--- a/components/entry/src/core/report.rs
+++ b/components/entry/src/core/report.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use request::AttemptSummary;
-use request::Need;
+use request::Requirements;
 use routing::TargetView;
 use serde_json::Value;
 use serde_json::json;
@@ -47,9 +47,9 @@
             })
         });
         let services: Vec<Value> = self
-            .terms
+            .service_configs
             .iter()
-            .map(|(name, terms)| {
+            .map(|(name, service_config)| {
                 let targets: Vec<Value> = self
                     .router
                     .fleet
@@ -59,7 +59,7 @@
                     .collect();
                 json!({
                     "service": name,
-                    "profile": terms.profile.name,
+                    "profile": service_config.profile.name,
                     "planned_here": self.is_planner_of(now, name),
                     "targets": targets,
                 })
@@ -71,7 +71,7 @@
             "revision": self.follower.applied(),
             "behind": behind,
             "stopping": self.is_stopping(),
-            "requests_in_flight": self.requests.open(),
+            "requests_in_flight": self.requests.in_flight(),
             "services": services,
         })
     }
@@ -116,21 +116,21 @@
     }
 
     fn candidates(&self, now: Instant, service: &str) -> Option<Vec<Value>> {
-        let terms = self.terms.get(service)?;
-        let need = Need {
+        let service_config = self.service_configs.get(service)?;
+        let requirements = Requirements {
             service: service.to_owned(),
-            kind: terms.kind,
+            kind: service_config.kind,
             needs: Loaded::default(),
-            priority: terms.profile.priority,
+            priority: service_config.profile.priority,
             prompt_tokens: EXAMPLE_PROMPT_TOKENS,
             max_output_tokens: EXAMPLE_OUTPUT_TOKENS,
             prefixes: Vec::new(),
-            deadline: now + terms.profile.deadline_ms,
-            wanted_by: None,
-            concurrency_limit: terms.profile.concurrency_limit,
-            cache_affinity: terms.profile.cache_affinity,
+            deadline: now + service_config.profile.deadline_ms,
+            expected_hang_up: None,
+            concurrency_limit: service_config.profile.concurrency_limit,
+            cache_affinity: service_config.profile.cache_affinity,
         };
-        let candidates = self.router.fleet.explain(now, &need);
+        let candidates = self.router.fleet.explain(now, &requirements);
         let describe_candidate = |candidate: &routing::Candidate| {
             json!({
                 "target": candidate.target,
--- a/components/entry/src/core/router.rs
+++ b/components/entry/src/core/router.rs
@@ -10,7 +10,7 @@
 use planner::Job;
 use planner::Planner;
 use request::Choice;
-use request::Need;
+use request::Requirements;
 use request::Router;
 use request::Settlement;
 use routing::Fleet;
@@ -76,38 +76,52 @@
 }
 
 impl Router for PlanningRouter {
-    fn choose(&mut self, now: Instant, need: &Need, exclude: &[TargetName]) -> Choice {
-        let choice = self.fleet.choose(now, need, exclude);
+    fn choose(
+        &mut self,
+        now: Instant,
+        requirements: &Requirements,
+        exclude: &[TargetName],
+    ) -> Choice {
+        let choice = self.fleet.choose(now, requirements, exclude);
         // Requests refused for their deadline are part of the demand.
         if matches!(choice, Choice::Infeasible { .. })
-            && let Some(service_planner) = self.service_planners.get_mut(&need.service)
+            && let Some(service_planner) = self.service_planners.get_mut(&requirements.service)
         {
-            let job = Job::new(self.fleet.size_for(need), remaining_wait(now, need));
+            let job = Job::new(
+                self.fleet.size_for(requirements),
+                remaining_wait(now, requirements),
+            );
             service_planner.planner.refused(now, &job);
         }
         choice
     }
 
-    fn dispatched(&mut self, now: Instant, target: &TargetName, attempt: AttemptId, need: &Need) {
-        self.fleet.dispatched(now, target, attempt, need);
+    fn dispatched(
+        &mut self,
+        now: Instant,
+        target: &TargetName,
+        attempt: AttemptId,
+        requirements: &Requirements,
+    ) {
+        self.fleet.dispatched(now, target, attempt, requirements);
         let Some(size) = self.fleet.size_of(attempt) else {
             return;
         };
-        if !self.service_planners.contains_key(&need.service) {
+        if !self.service_planners.contains_key(&requirements.service) {
             let service_planner = ServicePlanner {
                 planner: Planner::new(self.planner_settings.clone()),
                 in_flight: 0,
                 traffic_share: 1.0,
             };
             self.service_planners
-                .insert(need.service.clone(), service_planner);
+                .insert(requirements.service.clone(), service_planner);
         }
-        if let Some(service_planner) = self.service_planners.get_mut(&need.service) {
+        if let Some(service_planner) = self.service_planners.get_mut(&requirements.service) {
             service_planner.in_flight += 1;
-            let job = Job::new(size, remaining_wait(now, need));
+            let job = Job::new(size, remaining_wait(now, requirements));
             service_planner.planner.dispatched(now, attempt, &job);
             self.services_by_attempt
-                .insert(attempt, need.service.clone());
+                .insert(attempt, requirements.service.clone());
         }
     }
 
@@ -135,7 +149,10 @@
 }
 
 /// Time until the caller wants the answer, at most until the deadline.
-fn remaining_wait(now: Instant, need: &Need) -> Duration {
-    let until = need.wanted_by.unwrap_or(need.deadline).min(need.deadline);
+fn remaining_wait(now: Instant, requirements: &Requirements) -> Duration {
+    let until = requirements
+        .expected_hang_up
+        .unwrap_or(requirements.deadline)
+        .min(requirements.deadline);
     until.saturating_duration_since(now)
 }
--- a/components/entry/src/core/share_updates.rs
+++ b/components/entry/src/core/share_updates.rs
@@ -109,10 +109,12 @@
 
     /// Targets of the share that accept new work and have the model and version of the profile.
     fn usable_targets(&self, now: Instant, service: &str) -> BTreeSet<TargetName> {
-        let Some((terms, snapshot)) = self.terms.get(service).zip(self.applied.as_ref()) else {
+        let Some((service_config, snapshot)) =
+            self.service_configs.get(service).zip(self.applied.as_ref())
+        else {
             return BTreeSet::new();
         };
-        let profile = &terms.profile;
+        let profile = &service_config.profile;
         let has_model = |name: &TargetName| {
             let is_match = |need: &str, have: &str| need.is_empty() || need == have;
             snapshot.target(name).is_some_and(|target| {
--- a/components/entry/src/core/traffic.rs
+++ b/components/entry/src/core/traffic.rs
@@ -32,7 +32,8 @@
         submission: Submission,
         actions: &mut Vec<Action>,
     ) {
-        let Some(terms) = self.terms.get(&submission.work.service).cloned() else {
+        let Some(service_config) = self.service_configs.get(&submission.work.service).cloned()
+        else {
             let reply = Reply::Refused(self.refusal_without_terms(&submission.work.service));
             actions.push(Action::Reply { request, reply });
             return;
@@ -40,12 +41,12 @@
         let event = request::Event::Submitted {
             request,
             submission,
-            terms,
+            service_config,
         };
         self.handle_request_event(now, event, actions);
     }
 
-    /// Refusal of a request to a service without terms.
+    /// Refusal of a request to a service without a configuration.
     #[must_use]
     pub fn refusal_without_terms(&self, service: &str) -> Refusal {
         if self.applied.is_none() {
--- a/components/entry/src/daemon/gateway.rs
+++ b/components/entry/src/daemon/gateway.rs
@@ -28,13 +28,13 @@
 impl Gateway for EntryGateway {
     fn limits(&self, service: &str) -> Result<CallerLimits, Refusal> {
         let core = self.daemon.core.borrow();
-        let terms = core
-            .terms(service)
+        let service_config = core
+            .service_config(service)
             .ok_or_else(|| core.refusal_without_terms(service))?;
         Ok(CallerLimits {
-            kind: terms.kind,
-            body_limit_bytes: terms.profile.body_limit_bytes,
-            output_limit_tokens: terms.profile.output_limit_tokens,
+            kind: service_config.kind,
+            body_limit_bytes: service_config.profile.body_limit_bytes,
+            output_limit_tokens: service_config.profile.output_limit_tokens,
         })
     }
 
--- a/components/request/src/claim.rs
+++ b/components/request/src/claim.rs
@@ -26,7 +26,7 @@
 /// Largest answer body that is retained for resends. Agents retain no larger one either (their
 /// `kept_answer_limit_bytes`), so resends could not get a larger one until it is stored, and an
 /// entry with 128 MB of memory would have to hold all of it until then.
-pub const KEPT_ANSWER_LIMIT_BYTES: usize = 1 << 20;
+pub const RETAINED_ANSWER_LIMIT_BYTES: usize = 1 << 20;
 /// Key prefix of stored answers in the object store.
 const OBJECT_PREFIX: &str = "answer/";
 /// Key prefix of claims of requests without an `Idempotency-Key`. No resend can find them, so
--- a/components/request/src/claims.rs
+++ b/components/request/src/claims.rs
@@ -200,7 +200,7 @@
         let Some(claim) = &run.claim else {
             return;
         };
-        let profile = &run.terms.profile;
+        let profile = &run.service_config.profile;
         let retention_ms = profile
             .retention_s
             .max(profile.deadline_ms + 2 * ORPHAN_TIMEOUT_MS);
--- a/components/request/src/dispatch.rs
+++ b/components/request/src/dispatch.rs
@@ -24,7 +24,7 @@
 use crate::requests::Requests;
 use crate::requests::Timer;
 use crate::router::Choice;
-use crate::router::Need;
+use crate::router::Requirements;
 use crate::router::Settlement;
 use crate::run::Attempt;
 use crate::run::Phase;
@@ -57,7 +57,7 @@
                     finish_ms,
                 } => {
                     if let Some(queue) = self.queues.get_mut(&key) {
-                        queue.depart(cx.now, id, finish_ms);
+                        queue.record_dispatch(cx.now, id, finish_ms);
                     }
                     self.start_attempt(cx, id, target, incarnation);
                 }
@@ -69,7 +69,7 @@
                 }
                 Choice::Infeasible { retry_ms: wait } => {
                     if let Some(queue) = self.queues.get_mut(&key) {
-                        queue.infeasible(left_ms.saturating_add(wait));
+                        queue.record_infeasible(left_ms.saturating_add(wait));
                     }
                     let detail = "no target is expected to finish the request in time";
                     let cause = RefusalCause::new(RefusalReason::Overloaded, Some(wait), detail);
@@ -98,25 +98,30 @@
     ) -> Option<(Choice, Duration)> {
         let run = self.runs.get(&id)?;
         let queue = self.queues.get_mut(key).filter(|_| run.idempotent);
-        let (deadline, wanted_by) = match queue {
+        let (deadline, expected_hang_up) = match queue {
             Some(queue) => (
-                queue.wanted_by(cx.now, run.accepted, run.need.deadline),
+                queue.effective_deadline(cx.now, run.accepted, run.requirements.deadline),
                 queue.waits_until(cx.now, run.accepted),
             ),
-            None => (run.need.deadline, None),
+            None => (run.requirements.deadline, None),
         };
         let left_ms = deadline.saturating_duration_since(cx.now);
-        // In most cases the deadline is not shortened, and the copy of `need` is avoided.
-        if deadline == run.need.deadline && wanted_by.is_none() {
-            let choice = cx.router.choose(cx.now, &run.need, &run.tried_targets);
+        // In most cases the deadline is not shortened, and the copy of `requirements` is avoided.
+        if deadline == run.requirements.deadline && expected_hang_up.is_none() {
+            let choice = cx
+                .router
+                .choose(cx.now, &run.requirements, &run.tried_targets);
             return Some((choice, left_ms));
         }
-        let need = Need {
+        let requirements = Requirements {
             deadline,
-            wanted_by,
-            ..run.need.clone()
+            expected_hang_up,
+            ..run.requirements.clone()
         };
-        Some((cx.router.choose(cx.now, &need, &run.tried_targets), left_ms))
+        Some((
+            cx.router.choose(cx.now, &requirements, &run.tried_targets),
+            left_ms,
+        ))
     }
 
     fn schedule_dispatch(&mut self, now: Instant, wait_ms: Duration) {
@@ -178,7 +183,7 @@
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        if run.counted_attempts >= run.terms.profile.attempt_limit {
+        if run.counted_attempts >= run.service_config.profile.attempt_limit {
             self.refuse(cx, id, &no_target_accepted());
             return;
         }
@@ -215,7 +220,8 @@
             let target = target.clone();
             cx.actions.push(Action::Send { target, message });
         }
-        cx.router.dispatched(cx.now, &target, attempt, &run.need);
+        cx.router
+            .dispatched(cx.now, &target, attempt, &run.requirements);
         run.attempt = Some(Attempt {
             id: attempt,
             target,
@@ -298,7 +304,7 @@
         };
         let budget = self
             .retry_budgets
-            .entry(run.need.service.clone())
+            .entry(run.requirements.service.clone())
             .or_default();
         if budget.try_take(cx.now) {
             self.enqueue(cx, id);
@@ -336,10 +342,10 @@
     let dispatch = Dispatch {
         attempt,
         incarnation,
-        revision: run.terms.revision,
-        needs: run.need.needs.clone(),
+        revision: run.service_config.revision,
+        needs: run.requirements.needs.clone(),
         deadline_ms: run.deadline().saturating_duration_since(cx.now),
-        priority: run.need.priority,
+        priority: run.requirements.priority,
         idempotent: run.idempotent,
         credit_bytes: u32::try_from(granted_offset).unwrap_or(u32::MAX),
         work,
--- a/components/request/src/event.rs
+++ b/components/request/src/event.rs
@@ -16,7 +16,7 @@
 
 /// Service configuration that applies to a request from its acceptance to its end.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct ServiceConfig {
     /// Profile of the service at acceptance.
     pub profile: Rc<Profile>,
     /// Latest configuration revision at acceptance.
@@ -35,7 +35,7 @@
         /// Content, caller and idempotency key.
         submission: Submission,
         /// Configuration that applies to the request.
-        terms: Terms,
+        service_config: ServiceConfig,
     },
     /// The caller disconnected.
     CallerGone {
--- a/components/request/src/finish.rs
+++ b/components/request/src/finish.rs
@@ -60,7 +60,7 @@
     /// Retries a run if it has an attempt left, and refuses it otherwise.
     fn retry_or_refuse(&mut self, cx: &mut Context, id: RequestId, cause: &RefusalCause) {
         let run = self.runs.get(&id);
-        if run.is_some_and(|run| run.counted_attempts < run.terms.profile.attempt_limit) {
+        if run.is_some_and(|run| run.counted_attempts < run.service_config.profile.attempt_limit) {
             self.retry(cx, id);
             return;
         }
@@ -116,7 +116,7 @@
         if let Some(waiter) = self.take_waiter(id, request) {
             let after = cx.now.saturating_duration_since(waiter.accepted);
             if let Some(queue) = self.queue_of(id) {
-                queue.patience.hung_up(cx.now, after);
+                queue.hang_ups.record_hang_up(cx.now, after);
             }
             self.settle(cx, id, &waiter, Outcome::Abandoned, Usage::default());
         }
@@ -125,7 +125,10 @@
 
     fn queue_of(&mut self, id: RequestId) -> Option<&mut Queue> {
         let run = self.runs.get(&id)?;
-        let key = (run.need.service.clone(), run.terms.profile.name.clone());
+        let key = (
+            run.requirements.service.clone(),
+            run.service_config.profile.name.clone(),
+        );
         self.queues.get_mut(&key)
     }
 
@@ -171,7 +174,7 @@
             };
             let after = cx.now.saturating_duration_since(waiter.accepted);
             if let Some(queue) = self.queue_of(id) {
-                queue.patience.answered(cx.now, after);
+                queue.hang_ups.record_answer(cx.now, after);
             }
             let reply = Reply::End;
             cx.actions.push(Action::Reply { request, reply });
@@ -254,7 +257,7 @@
         };
         let request = waiter.request;
         let summary = Summary {
-            service: run.need.service.clone(),
+            service: run.requirements.service.clone(),
             outcome,
             attempts: run.history.to_vec(),
             first_byte_ms: waiter.first_byte_ms,
@@ -273,7 +276,10 @@
         if let Some(attempt) = &run.attempt {
             self.runs_by_attempt.remove(&attempt.id);
         }
-        let key = (run.need.service.clone(), run.terms.profile.name.clone());
+        let key = (
+            run.requirements.service.clone(),
+            run.service_config.profile.name.clone(),
+        );
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.remove(now, id);
         }
--- a/components/request/src/hang_ups.rs
+++ b/components/request/src/hang_ups.rs
@@ -34,7 +34,7 @@
 
 impl HangUpTracker {
     /// Records a caller that hung up at the time `after` its request was accepted.
-    pub fn hung_up(&mut self, now: Instant, after: Duration) {
+    pub fn record_hang_up(&mut self, now: Instant, after: Duration) {
         let after_s = after.as_secs_f64();
         if self.hang_ups == 0.0 {
             self.mean_s = after_s;
@@ -45,7 +45,7 @@
     }
 
     /// Records a caller that received its answer at the time `after` its request was accepted.
-    pub fn answered(&mut self, now: Instant, after: Duration) {
+    pub fn record_answer(&mut self, now: Instant, after: Duration) {
         if self.hang_ups > 0.0 && after.as_secs_f64() > self.mean_s {
             self.decay(now);
             self.late_answers += 1.0;
--- a/components/request/src/outcomes.rs
+++ b/components/request/src/outcomes.rs
@@ -61,7 +61,7 @@
             row.answer = row_answer(run);
             if let Some((object, body)) = object_answer(run, row.object_key(&key)) {
                 row.object = Some(object);
-                let retry_until = now + run.terms.profile.retention_s;
+                let retry_until = now + run.service_config.profile.retention_s;
                 self.store_large_answer(key, claim.version, row, body, retry_until);
                 return;
             }
--- a/components/request/src/queue.rs
+++ b/components/request/src/queue.rs
@@ -33,7 +33,7 @@
     positions: HashMap<RequestId, Position>,
     wait_estimator: WaitEstimator,
     /// How long callers of the profile wait before they hang up.
-    pub patience: HangUpTracker,
+    pub hang_ups: HangUpTracker,
     has_dispatched: bool,
     overdue_checked_at: Option<Instant>,
 }
@@ -122,7 +122,7 @@
     }
 
     /// Removes a request that is dispatched and expected to be answered after `finish_ms`.
-    pub fn depart(&mut self, now: Instant, request: RequestId, finish_ms: Duration) {
+    pub fn record_dispatch(&mut self, now: Instant, request: RequestId, finish_ms: Duration) {
         if !self.take(request) {
             return;
         }
@@ -133,21 +133,26 @@
 
     /// Records that no target could finish the first request in time; the fastest one would have
     /// taken `finish_ms`.
-    pub fn infeasible(&mut self, finish_ms: Duration) {
+    pub fn record_infeasible(&mut self, finish_ms: Duration) {
         self.wait_estimator.record_service_time(finish_ms);
     }
 
     /// Effective deadline, which is earlier than `deadline` if callers usually do not wait as long.
     #[must_use]
-    pub fn wanted_by(&mut self, now: Instant, accepted: Instant, deadline: Instant) -> Instant {
-        let limit = self.patience.wait_limit(now);
+    pub fn effective_deadline(
+        &mut self,
+        now: Instant,
+        accepted: Instant,
+        deadline: Instant,
+    ) -> Instant {
+        let limit = self.hang_ups.wait_limit(now);
         limit.map_or(deadline, |limit| deadline.min(accepted + limit))
     }
 
     /// Time until which the caller is expected to wait, if that is too short to refuse by.
     #[must_use]
     pub fn waits_until(&mut self, now: Instant, accepted: Instant) -> Option<Instant> {
-        self.patience
+        self.hang_ups
             .short_wait_limit(now)
             .map(|limit| accepted + limit)
     }
@@ -156,7 +161,12 @@
     ///
     /// `None` while the queue is empty, because the router has a better estimate then.
     #[must_use]
-    pub fn excess(&mut self, now: Instant, priority: u8, deadline: Instant) -> Option<Duration> {
+    pub fn expected_lateness(
+        &mut self,
+        now: Instant,
+        priority: u8,
+        deadline: Instant,
+    ) -> Option<Duration> {
         if self.is_empty() {
             return None;
         }
@@ -225,5 +235,5 @@
 fn lateness(now: Instant, finish_ms: Duration, deadline: Instant) -> Option<Duration> {
     finish_ms
         .checked_sub(deadline.saturating_duration_since(now))
-        .filter(|excess| !excess.is_zero())
+        .filter(|lateness| !lateness.is_zero())
 }
--- a/components/request/src/requests.rs
+++ b/components/request/src/requests.rs
@@ -160,8 +160,8 @@
             Event::Submitted {
                 request,
                 submission,
-                terms,
-            } => self.submitted(cx, request, submission, terms),
+                service_config,
+            } => self.submitted(cx, request, submission, service_config),
             Event::CallerGone { request } => {
                 self.replays.release(request);
                 self.caller_disconnected(cx, request);
@@ -205,7 +205,7 @@
 
     /// Number of requests that were accepted and have not ended.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.runs_by_caller.len()
     }
 
--- a/components/request/src/retained.rs
+++ b/components/request/src/retained.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use crate::claim::KEPT_ANSWER_LIMIT_BYTES;
+use crate::claim::RETAINED_ANSWER_LIMIT_BYTES;
 use crate::claim::ROW_ANSWER_LIMIT_BYTES;
 
 /// Memory for large answers that are retained until they are stored: a quarter of an entry's
@@ -100,7 +100,7 @@
     pub(crate) fn push(&mut self, more: &[u8]) -> bool {
         let length = self.bytes.len() + more.len();
         let is_large = length > ROW_ANSWER_LIMIT_BYTES;
-        if is_large && (length > KEPT_ANSWER_LIMIT_BYTES || !self.reservation.grow_to(length)) {
+        if is_large && (length > RETAINED_ANSWER_LIMIT_BYTES || !self.reservation.grow_to(length)) {
             return false;
         }
         if is_large && self.bytes.capacity() < length {
--- a/components/request/src/router.rs
+++ b/components/request/src/router.rs
@@ -13,7 +13,7 @@
 
 /// Requirements of an attempt, by which a target is chosen.
 #[derive(Debug, Clone)]
-pub struct Need {
+pub struct Requirements {
     /// Service that the request addresses.
     pub service: ServiceName,
     /// Whether the service is backed by engines or is a plain one.
@@ -32,7 +32,7 @@
     pub deadline: Instant,
     /// Time until which the caller is expected to wait, if that is too short to refuse requests by.
     /// It is only used to plan the roles of targets.
-    pub wanted_by: Option<Instant>,
+    pub expected_hang_up: Option<Instant>,
     /// Maximum number of concurrent requests of this entry at one target, from the profile.
     pub concurrency_limit: u32,
     /// Weight of the prefill time that a cached prefix saves, from the profile.
@@ -81,9 +81,20 @@
 /// Chooses targets and tracks the attempts that were sent to them.
 pub trait Router {
     /// Chooses a target that is not in `exclude`, or one that is if there is no other.
-    fn choose(&mut self, now: Instant, need: &Need, exclude: &[TargetName]) -> Choice;
+    fn choose(
+        &mut self,
+        now: Instant,
+        requirements: &Requirements,
+        exclude: &[TargetName],
+    ) -> Choice;
     /// Records that an attempt was sent to a target.
-    fn dispatched(&mut self, now: Instant, target: &TargetName, attempt: AttemptId, need: &Need);
+    fn dispatched(
+        &mut self,
+        now: Instant,
+        target: &TargetName,
+        attempt: AttemptId,
+        requirements: &Requirements,
+    );
     /// Records that an attempt has ended.
     fn settled(
         &mut self,
--- a/components/request/src/run.rs
+++ b/components/request/src/run.rs
@@ -19,8 +19,8 @@
 use crate::answer::Answer;
 use crate::claim::ClaimRow;
 use crate::claim::StoredObject;
-use crate::event::Terms;
-use crate::router::Need;
+use crate::event::ServiceConfig;
+use crate::router::Requirements;
 
 /// A caller that waits for the answer of a run.
 #[derive(Debug)]
@@ -87,8 +87,8 @@
 pub(crate) struct Run {
     pub id: RequestId,
     pub submission: Submission,
-    pub terms: Terms,
-    pub need: Need,
+    pub service_config: ServiceConfig,
+    pub requirements: Requirements,
     pub idempotent: bool,
     pub waiters: SmallVec<[Waiter; 1]>,
     pub phase: Phase,
@@ -113,7 +113,7 @@
 impl Run {
     /// Latest deadline of all callers.
     pub fn deadline(&self) -> Instant {
-        self.need.deadline
+        self.requirements.deadline
     }
 
     /// Records the dispatch of an attempt.
@@ -151,26 +151,30 @@
 }
 
 /// Requirements of a submission under the configuration of its service.
-pub(crate) fn need_for(submission: &Submission, terms: &Terms, deadline: Instant) -> Need {
+pub(crate) fn requirements_for(
+    submission: &Submission,
+    service_config: &ServiceConfig,
+    deadline: Instant,
+) -> Requirements {
     let work = &submission.work;
-    Need {
+    Requirements {
         service: work.service.clone(),
-        kind: terms.kind,
-        needs: required_models(submission, terms),
-        priority: terms.profile.priority,
+        kind: service_config.kind,
+        needs: required_models(submission, service_config),
+        priority: service_config.profile.priority,
         prompt_tokens: work.prompt_tokens,
         max_output_tokens: work.max_output_tokens,
         prefixes: work.prefixes.clone(),
         deadline,
-        wanted_by: None,
-        concurrency_limit: terms.profile.concurrency_limit,
-        cache_affinity: terms.profile.cache_affinity,
+        expected_hang_up: None,
+        concurrency_limit: service_config.profile.concurrency_limit,
+        cache_affinity: service_config.profile.cache_affinity,
     }
 }
 
-fn required_models(submission: &Submission, terms: &Terms) -> Loaded {
-    let profile = &terms.profile;
-    if terms.kind == ServiceKind::Plain {
+fn required_models(submission: &Submission, service_config: &ServiceConfig) -> Loaded {
+    let profile = &service_config.profile;
+    if service_config.kind == ServiceKind::Plain {
         return Loaded::default();
     }
     let named = &submission.work.model;
--- a/components/request/src/submit.rs
+++ b/components/request/src/submit.rs
@@ -21,7 +21,7 @@
 use crate::claim::claim_key;
 use crate::claim::work_digest;
 use crate::claims::key_reused;
-use crate::event::Terms;
+use crate::event::ServiceConfig;
 use crate::outcomes::not_retained;
 use crate::outcomes::refusal_in;
 use crate::refusal::RETRY_MS;
@@ -35,7 +35,7 @@
 use crate::run::Phase;
 use crate::run::Run;
 use crate::run::Waiter;
-use crate::run::need_for;
+use crate::run::requirements_for;
 
 impl Requests {
     pub(crate) fn submitted(
@@ -43,14 +43,15 @@
         cx: &mut Context,
         request: RequestId,
         submission: Submission,
-        terms: Terms,
+        service_config: ServiceConfig,
     ) {
-        if let Some(refusal) = self.admission_refusal(&submission, &terms) {
+        if let Some(refusal) = self.admission_refusal(&submission, &service_config) {
             refuse_unregistered(cx, request, &submission, refusal);
             return;
         }
-        let idempotent = submission.work.method.is_idempotent() || terms.profile.idempotent;
-        let mut run = new_run(cx.now, request, submission, terms, idempotent);
+        let idempotent =
+            submission.work.method.is_idempotent() || service_config.profile.idempotent;
+        let mut run = new_run(cx.now, request, submission, service_config, idempotent);
         if !idempotent {
             match self.prepare_claim(cx, &run) {
                 Some(claim) => {
@@ -71,7 +72,7 @@
         let submission = &run.submission;
         let digest = work_digest(submission);
         let Some(key) = &submission.key else {
-            if run.terms.profile.keyless == KeylessPolicy::Refuse {
+            if run.service_config.profile.keyless == KeylessPolicy::Refuse {
                 let detail = "the request is not idempotent; send an Idempotency-Key";
                 let refusal = not_run(RefusalReason::KeyRequired, None, detail);
                 refuse_unregistered(cx, run.id, submission, refusal);
@@ -117,16 +118,20 @@
             refuse_unregistered(cx, resend.id, submission, refusal);
             return;
         }
-        let deadline = resend.need.deadline;
-        run.need.deadline = run.need.deadline.max(deadline);
+        let deadline = resend.requirements.deadline;
+        run.requirements.deadline = run.requirements.deadline.max(deadline);
         run.waiters.push(new_waiter(cx.now, resend.id, deadline));
         self.runs_by_caller.insert(resend.id, id);
         self.set_timer(deadline, Timer::Deadline(resend.id));
         self.replay_to(cx, id, resend.id);
     }
 
-    fn admission_refusal(&self, submission: &Submission, terms: &Terms) -> Option<Refusal> {
-        let profile = &terms.profile;
+    fn admission_refusal(
+        &self,
+        submission: &Submission,
+        service_config: &ServiceConfig,
+    ) -> Option<Refusal> {
+        let profile = &service_config.profile;
         let work = &submission.work;
         if self.leaving {
             let detail = "this entry is stopping; send the request again";
@@ -146,7 +151,7 @@
     /// Registers a run, and reads its claim or queues it.
     fn admit(&mut self, cx: &mut Context, run: Run) {
         let id = run.id;
-        let service = run.need.service.clone();
+        let service = run.requirements.service.clone();
         for waiter in &run.waiters {
             self.runs_by_caller.insert(waiter.request, id);
             self.timers
@@ -175,18 +180,21 @@
             return;
         };
         run.phase = Phase::Queued;
-        let key = (run.need.service.clone(), run.terms.profile.name.clone());
+        let key = (
+            run.requirements.service.clone(),
+            run.service_config.profile.name.clone(),
+        );
         let queue = self.queues.entry(key).or_default();
-        let (priority, mut deadline) = (run.need.priority, run.need.deadline);
+        let (priority, mut deadline) = (run.requirements.priority, run.requirements.deadline);
         if run.idempotent {
-            deadline = queue.wanted_by(cx.now, run.accepted, deadline);
+            deadline = queue.effective_deadline(cx.now, run.accepted, deadline);
         }
         let first_try = run.attempt_no == 0;
-        let limit = run.terms.profile.queue_limit.max(1) as usize;
-        let excess = queue.excess(cx.now, priority, deadline);
-        if first_try && (queue.len() >= limit || excess.is_some()) {
+        let limit = run.service_config.profile.queue_limit.max(1) as usize;
+        let lateness = queue.expected_lateness(cx.now, priority, deadline);
+        if first_try && (queue.len() >= limit || lateness.is_some()) {
             let detail = "too many requests are queued for this service";
-            let retry = excess.unwrap_or_default().max(RETRY_MS);
+            let retry = lateness.unwrap_or_default().max(RETRY_MS);
             let cause = RefusalCause::new(RefusalReason::Overloaded, Some(retry), detail);
             self.refuse(cx, id, &cause);
             return;
@@ -200,16 +208,16 @@
     now: Instant,
     request: RequestId,
     submission: Submission,
-    terms: Terms,
+    service_config: ServiceConfig,
     idempotent: bool,
 ) -> Run {
-    let limit = terms.profile.deadline_ms;
+    let limit = service_config.profile.deadline_ms;
     let deadline = now + submission.deadline_ms.map_or(limit, |ms| ms.min(limit));
     Run {
         id: request,
-        need: need_for(&submission, &terms, deadline),
+        requirements: requirements_for(&submission, &service_config, deadline),
         submission,
-        terms,
+        service_config,
         idempotent,
         waiters: smallvec![new_waiter(now, request, deadline)],
         phase: Phase::Queued,
--- a/components/request/tests/feasibility.rs
+++ b/components/request/tests/feasibility.rs
@@ -20,7 +20,7 @@
     for _ in 0..30 {
         now += SECOND;
         let (_, _, first) = queue.first(now).expect("requests wait");
-        queue.depart(now, first, Duration::ZERO);
+        queue.record_dispatch(now, first, Duration::ZERO);
     }
     (queue, now)
 }
@@ -33,7 +33,7 @@
         let (mut queue, now) = queue_clearing_one_per_second(Instant::now(), u128::from(length));
         // A request of priority 9 is queued behind all others, whatever their deadlines are.
         let deadline = now + SECOND * u32::from(left_s);
-        let refused = queue.excess(now, 9, deadline).is_some();
+        let refused = queue.expected_lateness(now, 9, deadline).is_some();
         // The measured rate is within a sixth of one departure a second.
         let (length, left_s) = (f64::from(length), f64::from(left_s));
         if refused {
@@ -75,7 +75,7 @@
         let now = Instant::now();
         let mut queue = Queue::default();
         (0..u128::from(requests)).all(|request| {
-            let admitted = queue.excess(now, 5, now + SECOND).is_none();
+            let admitted = queue.expected_lateness(now, 5, now + SECOND).is_none();
             queue.push(now, request, 5, now + SECOND, now);
             admitted
         })
@@ -94,11 +94,11 @@
         let is_long = wait_s >= 10;
         let mut tracker = HangUpTracker::default();
         for _ in 0..hang_ups {
-            tracker.hung_up(now, limit);
+            tracker.record_hang_up(now, limit);
         }
         for _ in 0..late_answers {
-            tracker.answered(now, limit + SECOND);
-            tracker.answered(now, limit / 2);
+            tracker.record_answer(now, limit + SECOND);
+            tracker.record_answer(now, limit / 2);
         }
         let has_limit = is_long && hang_ups >= 8 && hang_ups > late_answers;
         let actual = tracker.wait_limit(now);
@@ -115,12 +115,12 @@
 #[test]
 fn recovers_from_an_unbounded_service_time() {
     let (mut queue, now) = queue_clearing_one_per_second(Instant::now(), 10);
-    queue.infeasible(Duration::MAX);
-    let refused = queue.excess(now, 9, now + FAR).is_some();
+    queue.record_infeasible(Duration::MAX);
+    let refused = queue.expected_lateness(now, 9, now + FAR).is_some();
     for _ in 0..200 {
-        queue.infeasible(SECOND);
+        queue.record_infeasible(SECOND);
     }
-    let refused_later = queue.excess(now, 9, now + SECOND * 60).is_some();
+    let refused_later = queue.expected_lateness(now, 9, now + SECOND * 60).is_some();
     assert!(!refused && !refused_later);
 }
 
@@ -135,7 +135,7 @@
             return false;
         }
         for _ in 0..20 {
-            tracker.hung_up(now, SECOND * u32::from(wait_s));
+            tracker.record_hang_up(now, SECOND * u32::from(wait_s));
         }
         tracker.short_wait_limit(now).is_some() == (wait_s < 10)
             && tracker.wait_limit(now).is_some() == (wait_s >= 10)
--- a/components/request/tests/objects.rs
+++ b/components/request/tests/objects.rs
@@ -7,7 +7,7 @@
 use request::Event;
 use request::answer::Answer;
 use request::answer::AnswerHead;
-use request::claim::KEPT_ANSWER_LIMIT_BYTES;
+use request::claim::RETAINED_ANSWER_LIMIT_BYTES;
 use request::claim::ROW_ANSWER_LIMIT_BYTES;
 use request::retained::MemoryBudget;
 use request::retained::REPLAY_LIMIT_BYTES;
@@ -113,17 +113,17 @@
 fn retains_no_more_than_the_limit_and_releases_memory_on_drop() {
     let budget = MemoryBudget::new(RETAINED_LIMIT_BYTES);
     let mut answers = Vec::new();
-    for index in 0..=RETAINED_LIMIT_BYTES / KEPT_ANSWER_LIMIT_BYTES {
+    for index in 0..=RETAINED_LIMIT_BYTES / RETAINED_ANSWER_LIMIT_BYTES {
         let mut answer = Answer::retaining(&budget);
         answer.receive_head(AnswerHead {
             headers: Headers::default(),
             status: 200,
             content_type: String::new(),
         });
-        answer.receive_chunk(0, vec![1; KEPT_ANSWER_LIMIT_BYTES / 2]);
-        answer.receive_chunk(0, vec![1; KEPT_ANSWER_LIMIT_BYTES]);
+        answer.receive_chunk(0, vec![1; RETAINED_ANSWER_LIMIT_BYTES / 2]);
+        answer.receive_chunk(0, vec![1; RETAINED_ANSWER_LIMIT_BYTES]);
         assert!(budget.used() <= RETAINED_LIMIT_BYTES);
-        let fits = index < RETAINED_LIMIT_BYTES / KEPT_ANSWER_LIMIT_BYTES;
+        let fits = index < RETAINED_LIMIT_BYTES / RETAINED_ANSWER_LIMIT_BYTES;
         assert_eq!(answer.retained().is_some(), fits);
         answers.push(answer);
     }
--- a/components/request/tests/queueing.rs
+++ b/components/request/tests/queueing.rs
@@ -11,7 +11,7 @@
 fn dispatch_all(queue: &mut Queue, now: Instant) -> Vec<u128> {
     let mut order = Vec::new();
     while let Some((_, _, request)) = queue.first(now) {
-        queue.depart(now, request, Duration::ZERO);
+        queue.record_dispatch(now, request, Duration::ZERO);
         order.push(request);
     }
     order
--- a/components/request/tests/support/mod.rs
+++ b/components/request/tests/support/mod.rs
@@ -13,10 +13,10 @@
 
 use request::Choice;
 use request::Event;
-use request::Need;
+use request::Requirements;
 use request::Router;
+use request::ServiceConfig;
 use request::Settlement;
-use request::Terms;
 use types::AttemptId;
 use types::Incarnation;
 use types::LoadReport;
@@ -49,7 +49,7 @@
 }
 
 impl Router for FixedRouter {
-    fn choose(&mut self, _now: Instant, _need: &Need, exclude: &[TargetName]) -> Choice {
+    fn choose(&mut self, _now: Instant, _need: &Requirements, exclude: &[TargetName]) -> Choice {
         if let Some(choice) = &self.fixed_choice {
             return choice.clone();
         }
@@ -64,7 +64,13 @@
         }
     }
 
-    fn dispatched(&mut self, _now: Instant, target: &TargetName, attempt: AttemptId, _need: &Need) {
+    fn dispatched(
+        &mut self,
+        _now: Instant,
+        target: &TargetName,
+        attempt: AttemptId,
+        _need: &Requirements,
+    ) {
         self.in_progress.push((target.clone(), attempt));
     }
 
@@ -132,7 +138,7 @@
     Event::Submitted {
         request,
         submission,
-        terms: Terms {
+        service_config: ServiceConfig {
             profile: Rc::new(profile),
             revision: 1,
             kind: ServiceKind::Plain,
--- a/components/routing/benches/choose.rs
+++ b/components/routing/benches/choose.rs
@@ -9,10 +9,10 @@
 use std::time::Instant;
 
 use common::Setup;
-use common::need;
+use common::requirements;
 use divan::Bencher;
 use divan::black_box;
-use request::Need;
+use request::Requirements;
 use request::Router;
 
 const SIZES: [usize; 7] = [8, 16, 32, 64, 128, 256, 512];
@@ -28,11 +28,11 @@
 }
 
 /// Creates a fleet under load, in which every eighth target holds the prefixes of the request.
-fn loaded_fleet(size: usize, pieces: u64) -> (Setup, Need) {
+fn loaded_fleet(size: usize, pieces: u64) -> (Setup, Requirements) {
     let mut setup = Setup::new(size, 7);
     setup.now += Duration::from_secs(1);
-    let mut need = need(setup.now, 40_000);
-    need.prefixes = (1..=pieces).map(|piece| piece * 0x9E37_79B9).collect();
+    let mut requirements = requirements(setup.now, 40_000);
+    requirements.prefixes = (1..=pieces).map(|piece| piece * 0x9E37_79B9).collect();
     for index in 0..size {
         setup.probe(index);
         let backlog = (index as u64 * 7_919) % 50_000;
@@ -48,21 +48,23 @@
             number: 1,
         };
         let name = setup.targets[index].name.clone();
-        setup.fleet.dispatched(setup.now, &name, attempt, &need);
+        setup
+            .fleet
+            .dispatched(setup.now, &name, attempt, &requirements);
     }
-    (setup, need)
+    (setup, requirements)
 }
 
 #[divan::bench(args = SIZES)]
 fn choose(bencher: Bencher, size: usize) {
-    let (mut setup, need) = loaded_fleet(size, 0);
-    bencher.bench_local(|| black_box(setup.fleet.choose(setup.now, &need, &[])));
+    let (mut setup, requirements) = loaded_fleet(size, 0);
+    bencher.bench_local(|| black_box(setup.fleet.choose(setup.now, &requirements, &[])));
 }
 
 #[divan::bench(args = SIZES)]
 fn choose_with_prefix(bencher: Bencher, size: usize) {
-    let (mut setup, need) = loaded_fleet(size, 20);
-    bencher.bench_local(|| black_box(setup.fleet.choose(setup.now, &need, &[])));
+    let (mut setup, requirements) = loaded_fleet(size, 20);
+    bencher.bench_local(|| black_box(setup.fleet.choose(setup.now, &requirements, &[])));
 }
 
 #[divan::bench(args = SIZES)]
@@ -103,11 +105,11 @@
 }
 
 fn decision_ns(size: usize, pieces: u64) -> f64 {
-    let (mut setup, need) = loaded_fleet(size, pieces);
+    let (mut setup, requirements) = loaded_fleet(size, pieces);
     let mut time_ns = || {
         let start = Instant::now();
         for _ in 0..DECISIONS {
-            black_box(setup.fleet.choose(setup.now, &need, &[]));
+            black_box(setup.fleet.choose(setup.now, &requirements, &[]));
         }
         start.elapsed().as_secs_f64() * 1e9 / f64::from(DECISIONS)
     };
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -5,7 +5,7 @@
 
 use rand::RngExt;
 use request::Choice;
-use request::Need;
+use request::Requirements;
 use request::Router;
 use request::Settlement;
 use types::AttemptId;
@@ -34,19 +34,28 @@
 }
 
 impl Router for Fleet {
-    fn choose(&mut self, now: Instant, need: &Need, exclude: &[TargetName]) -> Choice {
-        let Some(pool) = self.pools_by_service.get(&need.service).copied() else {
+    fn choose(
+        &mut self,
+        now: Instant,
+        requirements: &Requirements,
+        exclude: &[TargetName],
+    ) -> Choice {
+        let Some(pool) = self.pools_by_service.get(&requirements.service).copied() else {
             return Choice::Never;
         };
-        let mut best = self.best_candidate(now, need, pool, exclude);
+        let mut best = self.best_candidate(now, requirements, pool, exclude);
         if best.is_none() && !exclude.is_empty() {
-            best = self.best_candidate(now, need, pool, &[]);
+            best = self.best_candidate(now, requirements, pool, &[]);
         }
         let Some(best) = best else {
-            return self.choice_without_candidate(now, need, pool);
+            return self.choice_without_candidate(now, requirements, pool);
         };
-        let finish_ms = best.estimate.total_ms() * self.correction(pool, need.priority);
-        let left_ms = need.deadline.saturating_duration_since(now).as_secs_f64() * 1e3;
+        let finish_ms = best.estimate.total_ms() * self.correction(pool, requirements.priority);
+        let left_ms = requirements
+            .deadline
+            .saturating_duration_since(now)
+            .as_secs_f64()
+            * 1e3;
         if self.settings.mechanisms.feasibility && finish_ms > left_ms {
             let retry_ms = (finish_ms - left_ms).max(INFEASIBLE_RETRY_MS);
             return Choice::Infeasible {
@@ -61,22 +70,32 @@
         }
     }
 
-    fn dispatched(&mut self, now: Instant, target: &TargetName, attempt: AttemptId, need: &Need) {
+    fn dispatched(
+        &mut self,
+        now: Instant,
+        target: &TargetName,
+        attempt: AttemptId,
+        requirements: &Requirements,
+    ) {
         let Some(position) = self.positions.get(target).copied() else {
             return;
         };
-        let hit_tokens = self.cached_tokens(position, need);
-        let estimate_ms = self.rank_member(now, need, position).estimate.total_ms();
+        let hit_tokens = self.cached_tokens(position, requirements);
+        let estimate_ms = self
+            .rank_member(now, requirements, position)
+            .estimate
+            .total_ms();
         let member = &mut self.members[position];
         let size = Size {
-            prefill_tokens: (f64::from(need.prompt_tokens) - hit_tokens).max(0.0),
-            decode_tokens: self.pools[member.pool].output_ratio * f64::from(need.max_output_tokens),
+            prefill_tokens: (f64::from(requirements.prompt_tokens) - hit_tokens).max(0.0),
+            decode_tokens: self.pools[member.pool].output_ratio
+                * f64::from(requirements.max_output_tokens),
         };
-        let priority = usize::from(need.priority).min(PRIORITIES - 1);
+        let priority = usize::from(requirements.priority).min(PRIORITIES - 1);
         member.outstanding += 1;
         member.prefill_by_priority[priority] += size.prefill_tokens;
         member.load.dispatched(now, attempt, size);
-        for prefix in &need.prefixes {
+        for prefix in &requirements.prefixes {
             self.index.stored(*prefix, member.holder);
         }
         let in_flight = InFlight {
@@ -87,8 +106,8 @@
             cached_tokens: hit_tokens,
             dispatched_at: now,
             estimate_ms,
-            prefixes: need.prefixes.clone(),
-            max_output_tokens: need.max_output_tokens,
+            prefixes: requirements.prefixes.clone(),
+            max_output_tokens: requirements.max_output_tokens,
         };
         self.in_flight.insert(attempt, in_flight);
     }
@@ -132,13 +151,17 @@
     fn best_candidate(
         &mut self,
         now: Instant,
-        need: &Need,
+        requirements: &Requirements,
         pool: usize,
         exclude: &[TargetName],
     ) -> Option<Ranked> {
-        let left_ms = need.deadline.saturating_duration_since(now).as_secs_f64() * 1e3
-            / self.correction(pool, need.priority);
-        let mut best = self.best_cache_match(now, need, pool, exclude);
+        let left_ms = requirements
+            .deadline
+            .saturating_duration_since(now)
+            .as_secs_f64()
+            * 1e3
+            / self.correction(pool, requirements.priority);
+        let mut best = self.best_cache_match(now, requirements, pool, exclude);
         let mut is_any_compatible = best.is_some();
         let mut drawn = 0;
         // Samples without replacement: drawn members are swapped to the front of the list.
@@ -159,8 +182,8 @@
             }
             self.swap_open(pool, drawn, open_position);
             drawn += 1;
-            is_any_compatible |= self.members[position].is_compatible_with(&need.needs);
-            let candidate = self.candidate(now, need, position, exclude);
+            is_any_compatible |= self.members[position].is_compatible_with(&requirements.needs);
+            let candidate = self.candidate(now, requirements, position, exclude);
             best = lower_rank(best, candidate);
         }
         if is_any_compatible || drawn < self.settings.sample_limit {
@@ -169,7 +192,7 @@
         (0..self.pools[pool].open.len())
             .filter_map(|open_position| {
                 let position = self.pools[pool].open[open_position];
-                self.candidate(now, need, position, exclude)
+                self.candidate(now, requirements, position, exclude)
             })
             .fold(best, |best, candidate| lower_rank(best, Some(candidate)))
     }
@@ -177,21 +200,21 @@
     fn best_cache_match(
         &self,
         now: Instant,
-        need: &Need,
+        requirements: &Requirements,
         pool: usize,
         exclude: &[TargetName],
     ) -> Option<Ranked> {
-        if !self.settings.mechanisms.cache || need.cache_affinity <= 0.0 {
+        if !self.settings.mechanisms.cache || requirements.cache_affinity <= 0.0 {
             return None;
         }
         self.index
-            .best_holders(&need.prefixes)
+            .best_holders(&requirements.prefixes)
             .iter()
             .filter(|holder| {
                 let member = &self.members[holder.position()];
                 member.holder == **holder && member.pool == pool
             })
-            .filter_map(|holder| self.candidate(now, need, holder.position(), exclude))
+            .filter_map(|holder| self.candidate(now, requirements, holder.position(), exclude))
             .fold(None, |best, candidate| lower_rank(best, Some(candidate)))
     }
 
@@ -199,41 +222,47 @@
     pub(crate) fn candidate(
         &self,
         now: Instant,
-        need: &Need,
+        requirements: &Requirements,
         position: usize,
         exclude: &[TargetName],
     ) -> Option<Ranked> {
         let member = &self.members[position];
         let is_open = member.standing(now, &self.settings) == Standing::Open;
         if !is_open
-            || self.is_full(position, need)
-            || !member.is_compatible_with(&need.needs)
+            || self.is_full(position, requirements)
+            || !member.is_compatible_with(&requirements.needs)
             || exclude.contains(&member.target.name)
         {
             return None;
         }
-        Some(self.rank_member(now, need, position))
+        Some(self.rank_member(now, requirements, position))
     }
 
     /// Whether this entry's requests on the target have reached the concurrency limit.
-    pub(crate) fn is_full(&self, position: usize, need: &Need) -> bool {
-        self.members[position].outstanding >= need.concurrency_limit
+    pub(crate) fn is_full(&self, position: usize, requirements: &Requirements) -> bool {
+        self.members[position].outstanding >= requirements.concurrency_limit
     }
 
     /// Estimates the request on a member and computes its rank.
-    pub(crate) fn rank_member(&self, now: Instant, need: &Need, position: usize) -> Ranked {
+    pub(crate) fn rank_member(
+        &self,
+        now: Instant,
+        requirements: &Requirements,
+        position: usize,
+    ) -> Ranked {
         let member = &self.members[position];
         let mechanisms = self.settings.mechanisms;
         let load = member.load.load(mechanisms.netting);
-        let cached_tokens = self.cached_tokens(position, need);
-        let saved_tokens = need.cache_affinity * cached_tokens;
+        let cached_tokens = self.cached_tokens(position, requirements);
+        let saved_tokens = requirements.cache_affinity * cached_tokens;
         let job = Job {
-            prefill_tokens: (f64::from(need.prompt_tokens) - saved_tokens).max(0.0),
-            decode_tokens: self.pools[member.pool].output_ratio * f64::from(need.max_output_tokens),
-            backlog_share: member.backlog_share(need.priority),
+            prefill_tokens: (f64::from(requirements.prompt_tokens) - saved_tokens).max(0.0),
+            decode_tokens: self.pools[member.pool].output_ratio
+                * f64::from(requirements.max_output_tokens),
+            backlog_share: member.backlog_share(requirements.priority),
         };
         let rates = self.settings.rates(member.target.role);
-        let estimate = match need.kind {
+        let estimate = match requirements.kind {
             ServiceKind::Model => Estimate::new(rates, &load, &job, member.one_way_ms),
             ServiceKind::Plain => Estimate {
                 slot_ms: load.requests,
@@ -271,16 +300,21 @@
         }
     }
 
-    fn choice_without_candidate(&self, now: Instant, need: &Need, pool: usize) -> Choice {
+    fn choice_without_candidate(
+        &self,
+        now: Instant,
+        requirements: &Requirements,
+        pool: usize,
+    ) -> Choice {
         let is_eligible = |position: &usize| {
             let member = &self.members[*position];
             let is_withdrawn = member.target.state == types::TargetState::Withdrawn;
-            !is_withdrawn && member.is_compatible_with(&need.needs)
+            !is_withdrawn && member.is_compatible_with(&requirements.needs)
         };
         if !self.pools[pool].members.iter().any(is_eligible) {
             return Choice::Never;
         }
-        let left = need.deadline.saturating_duration_since(now);
+        let left = requirements.deadline.saturating_duration_since(now);
         if left.is_zero() {
             return Choice::Infeasible {
                 retry_ms: duration_from_ms(INFEASIBLE_RETRY_MS),
@@ -292,15 +326,15 @@
     }
 
     #[allow(clippy::cast_precision_loss)]
-    fn cached_tokens(&self, position: usize, need: &Need) -> f64 {
+    fn cached_tokens(&self, position: usize, requirements: &Requirements) -> f64 {
         if !self.settings.mechanisms.cache {
             return 0.0;
         }
         let pieces = self
             .index
-            .matched_pieces(&need.prefixes, self.members[position].holder);
+            .matched_pieces(&requirements.prefixes, self.members[position].holder);
         let tokens = pieces as f64 * f64::from(self.settings.piece_tokens);
-        tokens.min(f64::from(need.prompt_tokens)) * self.members[position].cache_hit_ratio
+        tokens.min(f64::from(requirements.prompt_tokens)) * self.members[position].cache_hit_ratio
     }
 
     fn swap_open(&mut self, pool: usize, left: usize, right: usize) {
--- a/components/routing/src/explain.rs
+++ b/components/routing/src/explain.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use request::Need;
+use request::Requirements;
 use types::TargetName;
 
 use crate::estimate::Estimate;
@@ -31,18 +31,18 @@
 impl Fleet {
     /// Candidates of a service: usable ones first, then by ascending rank.
     #[must_use]
-    pub fn explain(&self, now: Instant, need: &Need) -> Vec<Candidate> {
-        let Some(pool) = self.pools_by_service.get(&need.service) else {
+    pub fn explain(&self, now: Instant, requirements: &Requirements) -> Vec<Candidate> {
+        let Some(pool) = self.pools_by_service.get(&requirements.service) else {
             return Vec::new();
         };
         let to_candidate = |position: &usize| {
             let member = &self.members[*position];
-            let ranked = self.rank_member(now, need, *position);
+            let ranked = self.rank_member(now, requirements, *position);
             Candidate {
                 target: member.target.name.clone(),
                 standing: member.standing(now, &self.settings),
-                is_compatible: member.is_compatible_with(&need.needs),
-                is_full: self.is_full(*position, need),
+                is_compatible: member.is_compatible_with(&requirements.needs),
+                is_full: self.is_full(*position, requirements),
                 cached_tokens: ranked.cached_tokens,
                 estimate: ranked.estimate,
                 rank_ms: ranked.rank_ms,
--- a/components/routing/src/fleet.rs
+++ b/components/routing/src/fleet.rs
@@ -8,7 +8,7 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use request::Need;
+use request::Requirements;
 use types::AttemptId;
 use types::CacheEvent;
 use types::HostName;
@@ -283,19 +283,19 @@
 
     /// Expected tokens of a request on the target with the best cache match.
     #[must_use]
-    pub fn size_for(&self, need: &Need) -> Size {
-        let holders = self.index.best_holders(&need.prefixes);
+    pub fn size_for(&self, requirements: &Requirements) -> Size {
+        let holders = self.index.best_holders(&requirements.prefixes);
         let matched = holders
             .iter()
-            .map(|holder| self.index.matched_pieces(&need.prefixes, *holder))
+            .map(|holder| self.index.matched_pieces(&requirements.prefixes, *holder))
             .max();
         let matched = u32::try_from(matched.unwrap_or(0)).unwrap_or(u32::MAX);
         let cached = matched.saturating_mul(self.settings.piece_tokens);
-        let pool = self.pools_by_service.get(&need.service);
+        let pool = self.pools_by_service.get(&requirements.service);
         let ratio = pool.map_or(INITIAL_OUTPUT_RATIO, |pool| self.pools[*pool].output_ratio);
         Size {
-            prefill_tokens: f64::from(need.prompt_tokens.saturating_sub(cached)),
-            decode_tokens: ratio * f64::from(need.max_output_tokens),
+            prefill_tokens: f64::from(requirements.prompt_tokens.saturating_sub(cached)),
+            decode_tokens: ratio * f64::from(requirements.max_output_tokens),
         }
     }
 
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use request::Need;
+use request::Requirements;
 use request::Router;
 use request::Settlement;
 use routing::Fleet;
@@ -69,9 +69,9 @@
             request: self.attempts,
             number: 1,
         };
-        let need = need(self.now, prompt_tokens);
+        let requirements = requirements(self.now, prompt_tokens);
         self.fleet
-            .dispatched(self.now, &name.to_owned(), attempt, &need);
+            .dispatched(self.now, &name.to_owned(), attempt, &requirements);
         attempt
     }
 
@@ -85,9 +85,9 @@
         self.fleet.views(self.now, "drafts")[index].standing
     }
 
-    pub fn rank(&self, index: usize, need: &Need) -> f64 {
+    pub fn rank(&self, index: usize, requirements: &Requirements) -> f64 {
         let name = &self.targets[index].name;
-        let candidates = self.fleet.explain(self.now, need);
+        let candidates = self.fleet.explain(self.now, requirements);
         candidates
             .iter()
             .find(|candidate| candidate.target == *name)
@@ -136,8 +136,8 @@
     }
 }
 
-pub fn need(now: Instant, prompt_tokens: u32) -> Need {
-    Need {
+pub fn requirements(now: Instant, prompt_tokens: u32) -> Requirements {
+    Requirements {
         service: "drafts".into(),
         kind: ServiceKind::Model,
         needs: Loaded::default(),
@@ -146,7 +146,7 @@
         max_output_tokens: 200,
         prefixes: Vec::new(),
         deadline: now + Duration::from_mins(1),
-        wanted_by: None,
+        expected_hang_up: None,
         concurrency_limit: 32,
         cache_affinity: 1.0,
     }
--- a/components/routing/tests/load.rs
+++ b/components/routing/tests/load.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::Setup;
-use common::need;
+use common::requirements;
 use request::Choice;
 use request::Router;
 use request::Settlement;
@@ -25,23 +25,23 @@
         for _ in 0..dispatched % 8 {
             setup.dispatch("engine-0", 3_000);
         }
-        let need = need(setup.now, 1_000);
-        let before = setup.rank(0, &need);
+        let requirements = requirements(setup.now, 1_000);
+        let before = setup.rank(0, &requirements);
         setup.report(0, |report| {
             report.sequence = u64::from(stale) % (backlogs.len() as u64 + 2);
             report.received = 1_000;
         });
-        setup.rank(0, &need) >= before
+        setup.rank(0, &requirements) >= before
     }
 
     fn silence_does_not_improve_the_rank(backlog: u32, silence_ms: u16) -> bool {
         let mut setup = Setup::new(2, 1);
         setup.now += Duration::from_mins(1);
         setup.report(0, |report| report.prefill_backlog_tokens = u64::from(backlog));
-        let need = need(setup.now, 1_000);
-        let before = setup.rank(0, &need);
+        let requirements = requirements(setup.now, 1_000);
+        let before = setup.rank(0, &requirements);
         setup.now += Duration::from_millis(u64::from(silence_ms));
-        setup.rank(0, &need) >= before
+        setup.rank(0, &requirements) >= before
     }
 
     fn dispatches_add_load_until_a_report_includes_them(sent: u8, received: u8) -> bool {
@@ -84,22 +84,24 @@
         })
         .collect();
     setup.fleet.cache_events("engine-17", 117, &events);
-    let mut need = need(setup.now, 20_000);
-    need.prefixes = prefixes;
-    let choice = setup.fleet.choose(setup.now, &need, &[]);
+    let mut requirements = requirements(setup.now, 20_000);
+    requirements.prefixes = prefixes;
+    let choice = setup.fleet.choose(setup.now, &requirements, &[]);
     assert!(matches!(choice, Choice::Target { target, .. } if target == "engine-17"));
 }
 
 #[test]
 fn usage_without_cache_hits_lowers_the_expected_hits() {
     let mut setup = Setup::new(1, 5);
-    let mut need = need(setup.now, 20_000);
-    need.prefixes = (1..=10).map(|n| n * 7_919).collect();
+    let mut requirements = requirements(setup.now, 20_000);
+    requirements.prefixes = (1..=10).map(|n| n * 7_919).collect();
     let mut cached = Vec::new();
     for request in 0..20 {
         let attempt = types::AttemptId { request, number: 1 };
         let name = "engine-0".to_owned();
-        setup.fleet.dispatched(setup.now, &name, attempt, &need);
+        setup
+            .fleet
+            .dispatched(setup.now, &name, attempt, &requirements);
         let usage = Usage {
             prompt_tokens: 20_000,
             cached_tokens: 0,
@@ -108,7 +110,7 @@
         setup
             .fleet
             .settled(setup.now, &name, attempt, Settlement::Answered(usage));
-        cached.push(setup.fleet.explain(setup.now, &need)[0].cached_tokens);
+        cached.push(setup.fleet.explain(setup.now, &requirements)[0].cached_tokens);
     }
     assert!(cached[19] < cached[0] / 2.0, "{cached:?}");
 }
@@ -118,17 +120,19 @@
 #[test]
 fn answers_without_usage_leave_the_averages_unchanged() {
     let mut setup = Setup::new(1, 5);
-    let mut need = need(setup.now, 20_000);
-    need.prefixes = (1..=10).map(|n| n * 7_919).collect();
+    let mut requirements = requirements(setup.now, 20_000);
+    requirements.prefixes = (1..=10).map(|n| n * 7_919).collect();
     let mut sizes = Vec::new();
     for request in 0..20 {
         let attempt = types::AttemptId { request, number: 1 };
         let name = "engine-0".to_owned();
-        setup.fleet.dispatched(setup.now, &name, attempt, &need);
+        setup
+            .fleet
+            .dispatched(setup.now, &name, attempt, &requirements);
         let settlement = Settlement::Answered(Usage::default());
         setup.fleet.settled(setup.now, &name, attempt, settlement);
-        let cached = setup.fleet.explain(setup.now, &need)[0].cached_tokens;
-        sizes.push((setup.fleet.size_for(&need).decode_tokens, cached));
+        let cached = setup.fleet.explain(setup.now, &requirements)[0].cached_tokens;
+        sizes.push((setup.fleet.size_for(&requirements).decode_tokens, cached));
     }
     assert_eq!(sizes[0], sizes[19]);
 }
--- a/components/routing/tests/membership.rs
+++ b/components/routing/tests/membership.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use common::Setup;
-use common::need;
+use common::requirements;
 use request::Choice;
 use request::Router;
 use request::Settlement;
@@ -50,7 +50,7 @@
             stop_new_work(&mut setup, index, cause);
             is_stopped[index] = true;
             for _ in 0..4 {
-                let choice = setup.fleet.choose(setup.now, &need(setup.now, 4_000), &[]);
+                let choice = setup.fleet.choose(setup.now, &requirements(setup.now, 4_000), &[]);
                 match chosen_target(&choice) {
                     Some(name) if is_stopped[Setup::index_of(&name)] => return false,
                     None if is_stopped.contains(&false) => return false,
@@ -71,7 +71,7 @@
             }
         }
         (0..50).all(|_| {
-            let choice = setup.fleet.choose(setup.now, &need(setup.now, 4_000), &[]);
+            let choice = setup.fleet.choose(setup.now, &requirements(setup.now, 4_000), &[]);
             chosen_target(&choice).is_some_and(|name| Setup::index_of(&name) != silent)
         })
     }
@@ -92,7 +92,7 @@
             let mut setup = Setup::new(12, seed);
             sizes.iter().map(|size| {
                 let prompt = u32::from(*size);
-                let choice = setup.fleet.choose(setup.now, &need(setup.now, prompt), &[]);
+                let choice = setup.fleet.choose(setup.now, &requirements(setup.now, prompt), &[]);
                 let name = chosen_target(&choice);
                 if let Some(name) = &name {
                     setup.dispatch(name, prompt);
@@ -131,13 +131,15 @@
 #[test]
 fn returns_never_without_targets_and_wait_while_all_are_away() {
     let mut setup = Setup::new(2, 3);
-    let mut other = need(setup.now, 100);
+    let mut other = requirements(setup.now, 100);
     other.service = "unknown".into();
     assert_eq!(setup.fleet.choose(setup.now, &other, &[]), Choice::Never);
     (0..2).for_each(|index| setup.report(index, |report| report.away = true));
-    let choice = setup.fleet.choose(setup.now, &need(setup.now, 100), &[]);
+    let choice = setup
+        .fleet
+        .choose(setup.now, &requirements(setup.now, 100), &[]);
     assert!(matches!(choice, Choice::Wait { .. }));
-    let mut wrong = need(setup.now, 100);
+    let mut wrong = requirements(setup.now, 100);
     wrong.needs.model = "another".into();
     assert_eq!(setup.fleet.choose(setup.now, &wrong, &[]), Choice::Never);
 }
@@ -149,13 +151,13 @@
     for _ in 0..20 {
         let choice = setup
             .fleet
-            .choose(setup.now, &need(setup.now, 100), &exclude);
+            .choose(setup.now, &requirements(setup.now, 100), &exclude);
         assert_eq!(chosen_target(&choice), Some(setup.targets[1].name.clone()));
     }
     stop_new_work(&mut setup, 1, 0);
     let choice = setup
         .fleet
-        .choose(setup.now, &need(setup.now, 100), &exclude);
+        .choose(setup.now, &requirements(setup.now, 100), &exclude);
     assert_eq!(chosen_target(&choice), Some(setup.targets[0].name.clone()));
 }
 
@@ -164,7 +166,9 @@
     let mut setup = Setup::new(3, 3);
     (0..3)
         .for_each(|index| setup.report(index, |report| report.prefill_backlog_tokens = 10_000_000));
-    let choice = setup.fleet.choose(setup.now, &need(setup.now, 100), &[]);
+    let choice = setup
+        .fleet
+        .choose(setup.now, &requirements(setup.now, 100), &[]);
     assert!(matches!(choice, Choice::Infeasible { .. }));
     let _: Instant = setup.now;
 }
--- a/examples/policy/admission.rs
+++ b/examples/policy/admission.rs
@@ -40,7 +40,8 @@
         deadline: Instant,
     ) -> bool {
         let queue = &mut self.queues[class];
-        if queue.len() >= QUEUE_LIMIT || queue.excess(now, priority, deadline).is_some() {
+        if queue.len() >= QUEUE_LIMIT || queue.expected_lateness(now, priority, deadline).is_some()
+        {
             return false;
         }
         let waiting_since = if self.is_ageing_disabled {
@@ -74,20 +75,20 @@
         class: usize,
         finish_ms: Duration,
     ) {
-        self.queues[class].depart(now, call as RequestId, finish_ms);
+        self.queues[class].record_dispatch(now, call as RequestId, finish_ms);
     }
 
     /// Records that no target could meet a deadline; the fastest one would take `finish_ms`.
     pub fn record_infeasible(&mut self, class: usize, finish_ms: Duration) {
-        self.queues[class].infeasible(finish_ms);
+        self.queues[class].record_infeasible(finish_ms);
     }
 
     pub fn record_hang_up(&mut self, now: Instant, class: usize, after_ms: Duration) {
-        self.queues[class].patience.hung_up(now, after_ms);
+        self.queues[class].hang_ups.record_hang_up(now, after_ms);
     }
 
     pub fn record_answer(&mut self, now: Instant, class: usize, after_ms: Duration) {
-        self.queues[class].patience.answered(now, after_ms);
+        self.queues[class].hang_ups.record_answer(now, after_ms);
     }
 
     /// Effective deadline, earlier than `deadline` if callers of the class usually hang up before.
@@ -101,7 +102,7 @@
         if self.is_hang_up_tracking_disabled {
             return deadline;
         }
-        self.queues[class].wanted_by(now, submitted_at, deadline)
+        self.queues[class].effective_deadline(now, submitted_at, deadline)
     }
 
     /// Time at which the caller is expected to hang up, if that is known to be soon.
--- a/examples/policy/baseline.rs
+++ b/examples/policy/baseline.rs
@@ -5,7 +5,7 @@
 
 use planner::Mix;
 use request::Choice;
-use request::Need;
+use request::Requirements;
 use request::Router;
 use request::Settlement;
 use routing::Standing;
@@ -75,12 +75,17 @@
 }
 
 impl Router for BaselineRouter {
-    fn choose(&mut self, _now: Instant, need: &Need, exclude: &[TargetName]) -> Choice {
+    fn choose(
+        &mut self,
+        _now: Instant,
+        requirements: &Requirements,
+        exclude: &[TargetName],
+    ) -> Choice {
         let count = self.members.len();
         let is_open = |member: &Member| {
             member.is_usable
                 && member.target.state.accepts_work()
-                && member.outstanding < need.concurrency_limit
+                && member.outstanding < requirements.concurrency_limit
                 && !exclude.contains(&member.target.name)
         };
         let order = (0..count).map(|step| (self.next + step) % count);
@@ -104,7 +109,7 @@
         }
     }
 
-    fn dispatched(&mut self, _: Instant, target: &TargetName, _: AttemptId, _: &Need) {
+    fn dispatched(&mut self, _: Instant, target: &TargetName, _: AttemptId, _: &Requirements) {
         if let Some(member) = self.member(target) {
             member.outstanding += 1;
         }
--- a/examples/policy/simulation/calls.rs
+++ b/examples/policy/simulation/calls.rs
@@ -6,7 +6,7 @@
 use planner::Job;
 use rand::RngExt;
 use request::Choice;
-use request::Need;
+use request::Requirements;
 use request::Settlement;
 use types::AttemptId;
 use types::Loaded;
@@ -58,17 +58,17 @@
     pub(super) fn try_route(&mut self, call: usize) -> bool {
         let entry = self.calls[call].entry;
         let effective_deadline = self.effective_deadline(call);
-        let need = Need {
+        let requirements = Requirements {
             deadline: effective_deadline,
-            wanted_by: self.expected_hang_up(call),
-            ..self.need_of(call)
+            expected_hang_up: self.expected_hang_up(call),
+            ..self.requirements_of(call)
         };
         let now = self.instant();
         let failed = self.call_states[call].failed_targets.clone();
         let choice = self.entries[entry]
             .routing
             .router()
-            .choose(now, &need, &failed);
+            .choose(now, &requirements, &failed);
         match choice {
             Choice::Target {
                 target, finish_ms, ..
@@ -77,7 +77,7 @@
                 self.entries[entry]
                     .admission
                     .record_dispatch(now, call, class, finish_ms);
-                self.dispatch(call, &target, &need);
+                self.dispatch(call, &target, &requirements);
                 true
             }
             Choice::Wait { .. } => false,
@@ -101,7 +101,12 @@
         }
     }
 
-    pub(super) fn dispatch(&mut self, call: usize, target: &TargetName, need: &Need) {
+    pub(super) fn dispatch(
+        &mut self,
+        call: usize,
+        target: &TargetName,
+        requirements: &Requirements,
+    ) {
         let now = self.instant();
         let entry = self.calls[call].entry;
         let engine = engine_index(target);
@@ -113,7 +118,9 @@
         };
         call_state.attempt = Some((attempt, engine));
         let routing = &mut self.entries[entry].routing;
-        routing.router().dispatched(now, target, attempt, need);
+        routing
+            .router()
+            .dispatched(now, target, attempt, requirements);
         if entry == 0 {
             let size = match routing {
                 Routing::Fleet(fleet) => fleet.size_of(attempt).unwrap_or_default(),
@@ -122,7 +129,10 @@
             match &mut self.role_policy {
                 RolePolicy::None => {}
                 RolePolicy::Planner(planner) => {
-                    let until = need.wanted_by.unwrap_or(need.deadline).min(need.deadline);
+                    let until = requirements
+                        .expected_hang_up
+                        .unwrap_or(requirements.deadline)
+                        .min(requirements.deadline);
                     let job = Job::new(size, until.saturating_duration_since(now));
                     planner.dispatched(now, attempt, &job);
                 }
@@ -265,9 +275,11 @@
 
     /// Adds a refused call to the demand that role changes are based on.
     fn add_refused_demand(&mut self, call: usize) {
-        let (now, need) = (self.instant(), self.need_of(call));
-        let until = self.expected_hang_up(call).unwrap_or(need.deadline);
-        let within_ms = until.min(need.deadline).saturating_duration_since(now);
+        let (now, requirements) = (self.instant(), self.requirements_of(call));
+        let until = self.expected_hang_up(call).unwrap_or(requirements.deadline);
+        let within_ms = until
+            .min(requirements.deadline)
+            .saturating_duration_since(now);
         let entry = self.calls[call].entry;
         let Routing::Fleet(fleet) = &self.entries[entry].routing else {
             return;
@@ -275,7 +287,7 @@
         if entry != 0 {
             return;
         }
-        let size = fleet.size_for(&need);
+        let size = fleet.size_for(&requirements);
         let (prefill, decode) = (size.prefill_tokens, size.decode_tokens);
         match &mut self.role_policy {
             RolePolicy::None => {}
@@ -340,10 +352,10 @@
         }
     }
 
-    pub(super) fn need_of(&self, call: usize) -> Need {
+    pub(super) fn requirements_of(&self, call: usize) -> Requirements {
         let class = self.class_of(call);
         let call = &self.calls[call];
-        Need {
+        Requirements {
             service: SERVICE.into(),
             kind: ServiceKind::Model,
             needs: Loaded::default(),
@@ -352,7 +364,7 @@
             max_output_tokens: call.max_output_tokens,
             prefixes: call.prefixes.clone(),
             deadline: self.start + call.deadline,
-            wanted_by: None,
+            expected_hang_up: None,
             concurrency_limit: class.concurrency_limit,
             cache_affinity: 1.0,
         }
--- a/examples/soak/objects.rs
+++ b/examples/soak/objects.rs
@@ -11,7 +11,7 @@
 use request::claim::ClaimRow;
 use request::claim::EPOCH_KEY;
 use request::claim::EpochRow;
-use request::claim::KEPT_ANSWER_LIMIT_BYTES;
+use request::claim::RETAINED_ANSWER_LIMIT_BYTES;
 use store::ObjectReply;
 use store::ObjectRequest;
 use store::TableReply;
@@ -36,7 +36,7 @@
 
 /// Whether the answer to `body` exceeds the size limit for answers kept for resends.
 pub fn exceeds_kept_answer_limit(body: &[u8]) -> bool {
-    body.starts_with(LARGE_ORDER) && answer_to(body, 0, false).len() > KEPT_ANSWER_LIMIT_BYTES
+    body.starts_with(LARGE_ORDER) && answer_to(body, 0, false).len() > RETAINED_ANSWER_LIMIT_BYTES
 }
 
 /// Describes the claim rows of a transaction that refer to objects missing from the store.
