--- a/components/entry/src/core/event.rs
+++ b/components/entry/src/core/event.rs
@@ -42,7 +42,7 @@
         bytes: u64,
     },
     /// The caller disconnected before the end of the answer.
-    CallerGone {
+    CallerDisconnected {
         /// Id from `EntryCore::new_request`.
         request: RequestId,
     },
--- a/components/entry/src/core/mod.rs
+++ b/components/entry/src/core/mod.rs
@@ -208,8 +208,8 @@
                 let event = request::Event::Consumed { request, bytes };
                 self.handle_request_event(now, event, &mut actions);
             }
-            Event::CallerGone { request } => {
-                let event = request::Event::CallerGone { request };
+            Event::CallerDisconnected { request } => {
+                let event = request::Event::CallerDisconnected { request };
                 self.handle_request_event(now, event, &mut actions);
             }
             Event::LinkMessage { link, message } => {
--- a/components/entry/src/core/router.rs
+++ b/components/entry/src/core/router.rs
@@ -9,10 +9,10 @@
 use planner::Ended;
 use planner::Job;
 use planner::Planner;
+use request::AttemptResult;
 use request::Choice;
 use request::Requirements;
 use request::Router;
-use request::Settlement;
 use routing::Fleet;
 use types::AttemptId;
 use types::ServiceName;
@@ -96,14 +96,15 @@
         choice
     }
 
-    fn dispatched(
+    fn attempt_dispatched(
         &mut self,
         now: Instant,
         target: &TargetName,
         attempt: AttemptId,
         requirements: &Requirements,
     ) {
-        self.fleet.dispatched(now, target, attempt, requirements);
+        self.fleet
+            .attempt_dispatched(now, target, attempt, requirements);
         let Some(size) = self.fleet.size_of(attempt) else {
             return;
         };
@@ -125,22 +126,22 @@
         }
     }
 
-    fn settled(
+    fn attempt_ended(
         &mut self,
         now: Instant,
         target: &TargetName,
         attempt: AttemptId,
-        settlement: Settlement,
+        result: AttemptResult,
     ) {
-        self.fleet.settled(now, target, attempt, settlement);
+        self.fleet.attempt_ended(now, target, attempt, result);
         let Some(service) = self.services_by_attempt.remove(&attempt) else {
             return;
         };
         if let Some(service_planner) = self.service_planners.get_mut(&service) {
-            let ended = match settlement {
-                Settlement::Answered(usage) => Ended::Answered(usage),
-                Settlement::Rejected | Settlement::Failed => Ended::TriedAgain,
-                Settlement::Cancelled => Ended::Unserved,
+            let ended = match result {
+                AttemptResult::Answered(usage) => Ended::Answered(usage),
+                AttemptResult::Rejected | AttemptResult::Failed => Ended::TriedAgain,
+                AttemptResult::Cancelled => Ended::Unserved,
             };
             service_planner.in_flight = service_planner.in_flight.saturating_sub(1);
             service_planner.planner.settled(now, attempt, ended);
--- a/components/entry/src/core/traffic.rs
+++ b/components/entry/src/core/traffic.rs
@@ -215,7 +215,7 @@
                         target: target.clone(),
                         incarnation,
                     }));
-                    let event = request::Event::IncarnationGone {
+                    let event = request::Event::IncarnationEnded {
                         target,
                         incarnation,
                     };
--- a/components/entry/src/daemon/gateway.rs
+++ b/components/entry/src/daemon/gateway.rs
@@ -55,7 +55,8 @@
 
     fn hang_up(&self, request: RequestId) {
         self.daemon.replies.borrow_mut().remove(&request);
-        self.daemon.handle_event(Event::CallerGone { request });
+        self.daemon
+            .handle_event(Event::CallerDisconnected { request });
     }
 
     fn health(&self) -> Health {
--- a/components/request/src/dispatch.rs
+++ b/components/request/src/dispatch.rs
@@ -23,9 +23,9 @@
 use crate::requests::QueueKey;
 use crate::requests::Requests;
 use crate::requests::Timer;
+use crate::router::AttemptResult;
 use crate::router::Choice;
 use crate::router::Requirements;
-use crate::router::Settlement;
 use crate::run::Attempt;
 use crate::run::Phase;
 use crate::run::Run;
@@ -221,7 +221,7 @@
             cx.actions.push(Action::Send { target, message });
         }
         cx.router
-            .dispatched(cx.now, &target, attempt, &run.requirements);
+            .attempt_dispatched(cx.now, &target, attempt, &run.requirements);
         run.attempt = Some(Attempt {
             id: attempt,
             target,
@@ -257,14 +257,14 @@
         run.attempt_ended(cx.now, end);
         self.runs_by_attempt.remove(&attempt.id);
         if attempt.is_own {
-            let settlement = match end {
-                AttemptEnd::Answered => Settlement::Answered(usage),
-                AttemptEnd::Rejected(_) => Settlement::Rejected,
-                AttemptEnd::Failed => Settlement::Failed,
-                AttemptEnd::Cancelled => Settlement::Cancelled,
+            let result = match end {
+                AttemptEnd::Answered => AttemptResult::Answered(usage),
+                AttemptEnd::Rejected(_) => AttemptResult::Rejected,
+                AttemptEnd::Failed => AttemptResult::Failed,
+                AttemptEnd::Cancelled => AttemptResult::Cancelled,
             };
             let target = &attempt.target;
-            cx.router.settled(cx.now, target, attempt.id, settlement);
+            cx.router.attempt_ended(cx.now, target, attempt.id, result);
         }
         self.is_dispatch_due = true;
     }
--- a/components/request/src/event.rs
+++ b/components/request/src/event.rs
@@ -38,7 +38,7 @@
         service_config: ServiceConfig,
     },
     /// The caller disconnected.
-    CallerGone {
+    CallerDisconnected {
         /// Request of the caller.
         request: RequestId,
     },
@@ -71,7 +71,7 @@
         target: TargetName,
     },
     /// The process of this incarnation has ended, and the state that it held is lost.
-    IncarnationGone {
+    IncarnationEnded {
         /// Target of the agent.
         target: TargetName,
         /// Incarnation of the agent.
--- a/components/request/src/requests.rs
+++ b/components/request/src/requests.rs
@@ -162,7 +162,7 @@
                 submission,
                 service_config,
             } => self.submitted(cx, request, submission, service_config),
-            Event::CallerGone { request } => {
+            Event::CallerDisconnected { request } => {
                 self.replays.release(request);
                 self.caller_disconnected(cx, request);
             }
@@ -180,7 +180,7 @@
                 incarnation,
             } => self.connection_up(cx, &target, incarnation),
             Event::ConnectionDown { target } => self.connection_down(cx, &target),
-            Event::IncarnationGone {
+            Event::IncarnationEnded {
                 target,
                 incarnation,
             } => self.incarnation_gone(cx, &target, incarnation),
--- a/components/request/src/router.rs
+++ b/components/request/src/router.rs
@@ -67,7 +67,7 @@
 
 /// How an attempt ended, for load accounting and ejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Settlement {
+pub enum AttemptResult {
     /// The complete answer was received.
     Answered(Usage),
     /// Rejected without being executed.
@@ -88,7 +88,7 @@
         exclude: &[TargetName],
     ) -> Choice;
     /// Records that an attempt was sent to a target.
-    fn dispatched(
+    fn attempt_dispatched(
         &mut self,
         now: Instant,
         target: &TargetName,
@@ -96,11 +96,11 @@
         requirements: &Requirements,
     );
     /// Records that an attempt has ended.
-    fn settled(
+    fn attempt_ended(
         &mut self,
         now: Instant,
         target: &TargetName,
         attempt: AttemptId,
-        settlement: Settlement,
+        result: AttemptResult,
     );
 }
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use rand::RngExt;
+use request::AttemptResult;
 use request::Choice;
 use request::Requirements;
 use request::Router;
-use request::Settlement;
 use types::AttemptId;
 use types::ServiceKind;
 use types::TargetName;
@@ -70,7 +70,7 @@
         }
     }
 
-    fn dispatched(
+    fn attempt_dispatched(
         &mut self,
         now: Instant,
         target: &TargetName,
@@ -112,12 +112,12 @@
         self.in_flight.insert(attempt, in_flight);
     }
 
-    fn settled(
+    fn attempt_ended(
         &mut self,
         now: Instant,
         _target: &TargetName,
         attempt: AttemptId,
-        settlement: Settlement,
+        result: AttemptResult,
     ) {
         let Some(in_flight) = self.in_flight.remove(&attempt) else {
             return;
@@ -131,12 +131,12 @@
         *prefill = (*prefill - in_flight.size.prefill_tokens).max(0.0);
         member.load.settled(attempt);
         let pool = member.pool;
-        self.update_correction(now, pool, &in_flight, settlement);
-        match settlement {
-            Settlement::Answered(usage) => self.record_success(&in_flight, usage),
-            Settlement::Failed => self.record_failure(now, in_flight.member),
-            Settlement::Rejected => self.remove_prefixes(&in_flight),
-            Settlement::Cancelled => {}
+        self.update_correction(now, pool, &in_flight, result);
+        match result {
+            AttemptResult::Answered(usage) => self.record_success(&in_flight, usage),
+            AttemptResult::Failed => self.record_failure(now, in_flight.member),
+            AttemptResult::Rejected => self.remove_prefixes(&in_flight),
+            AttemptResult::Cancelled => {}
         }
     }
 }
--- a/components/routing/src/learn.rs
+++ b/components/routing/src/learn.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use request::Settlement;
+use request::AttemptResult;
 use types::Usage;
 
 use crate::fleet::Fleet;
@@ -30,7 +30,7 @@
         now: Instant,
         pool: usize,
         in_flight: &InFlight,
-        settlement: Settlement,
+        result: AttemptResult,
     ) {
         let elapsed_ms = now
             .saturating_duration_since(in_flight.dispatched_at)
@@ -38,10 +38,10 @@
             * 1e3;
         let ratio = elapsed_ms / in_flight.estimate_ms.max(1.0);
         let correction = &mut self.pools[pool].corrections[in_flight.priority];
-        let is_sample = match settlement {
-            Settlement::Answered(_) => true,
-            Settlement::Cancelled => ratio > *correction,
-            Settlement::Rejected | Settlement::Failed => false,
+        let is_sample = match result {
+            AttemptResult::Answered(_) => true,
+            AttemptResult::Cancelled => ratio > *correction,
+            AttemptResult::Rejected | AttemptResult::Failed => false,
         };
         if is_sample {
             *correction += CORRECTION_WEIGHT * (ratio.min(MAX_CORRECTION) - *correction);
--- a/examples/policy/baseline.rs
+++ b/examples/policy/baseline.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use planner::Mix;
+use request::AttemptResult;
 use request::Choice;
 use request::Requirements;
 use request::Router;
-use request::Settlement;
 use routing::Standing;
 use routing::TargetView;
 use types::AttemptId;
@@ -109,13 +109,19 @@
         }
     }
 
-    fn dispatched(&mut self, _: Instant, target: &TargetName, _: AttemptId, _: &Requirements) {
+    fn attempt_dispatched(
+        &mut self,
+        _: Instant,
+        target: &TargetName,
+        _: AttemptId,
+        _: &Requirements,
+    ) {
         if let Some(member) = self.member(target) {
             member.outstanding += 1;
         }
     }
 
-    fn settled(&mut self, _: Instant, target: &TargetName, _: AttemptId, _: Settlement) {
+    fn attempt_ended(&mut self, _: Instant, target: &TargetName, _: AttemptId, _: AttemptResult) {
         if let Some(member) = self.member(target) {
             member.outstanding = member.outstanding.saturating_sub(1);
         }
--- a/examples/soak/callers.rs
+++ b/examples/soak/callers.rs
@@ -237,7 +237,7 @@
         sent.is_closed = true;
         let operation = sent.operation;
         self.count("hang-ups");
-        self.deliver_to_entry(request, Event::CallerGone { request });
+        self.deliver_to_entry(request, Event::CallerDisconnected { request });
         self.resend(operation, Duration::ZERO);
     }
 
