--- a/components/agent/src/daemon/start.rs
+++ b/components/agent/src/daemon/start.rs
@@ -74,7 +74,7 @@
 }
 
 fn limits(settings: &AgentSettings) -> Limits {
-    let incarnation = startup::incarnation();
+    let incarnation = startup::random_incarnation();
     let target = &settings.target;
     let advertised = settings.advertise.unwrap_or(settings.listen);
     let concurrency = concurrency(settings);
--- a/components/agent/src/target_row.rs
+++ b/components/agent/src/target_row.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use control::Meta;
+use control::ChangeMeta;
 use control::RowSet;
 use control::TargetError;
 use control::TargetUpdate;
@@ -146,7 +146,7 @@
         out: &mut Vec<Action>,
     ) -> RowEvent {
         let first = *self.first_call_at.get_or_insert(now);
-        let meta = Meta {
+        let meta = ChangeMeta {
             by: format!("agent/{}", self.limits.target),
             at_ms: self.limits.started_wall_ms + now.saturating_duration_since(first),
             reason: reason.to_owned(),
--- a/components/control/src/execute.rs
+++ b/components/control/src/execute.rs
@@ -23,8 +23,8 @@
 use crate::command::CommandRequest;
 use crate::conflict;
 use crate::keys;
+use crate::plan::ChangeMeta;
 use crate::plan::Intent;
-use crate::plan::Meta;
 use crate::plan::plan_intent;
 use crate::rows::RowSet;
 use crate::rows::RowsNeeded;
@@ -161,7 +161,7 @@
         .into())
     }
 
-    fn meta(&self, author: Author<'_>) -> Meta {
+    fn meta(&self, author: Author<'_>) -> ChangeMeta {
         let since_epoch = self
             .clock
             .wall()
@@ -169,7 +169,7 @@
             .unwrap_or_default();
         // Rounded to whole milliseconds as in the log, so that the outcome equals the log record.
         let at_ms = Duration::from_millis(u64::try_from(since_epoch.as_millis()).unwrap_or(0));
-        Meta {
+        ChangeMeta {
             by: author.by.to_owned(),
             reason: author.reason.to_owned(),
             at_ms,
--- a/components/control/src/follower.rs
+++ b/components/control/src/follower.rs
@@ -125,7 +125,7 @@
 
     /// Lag behind the latest known revision; `None` if that revision is applied.
     #[must_use]
-    pub fn behind(&self, now: Instant) -> Option<FollowerLag> {
+    pub fn lag(&self, now: Instant) -> Option<FollowerLag> {
         self.lagging_since.map(|since| FollowerLag {
             applied: self.applied(),
             known: self.known,
@@ -156,12 +156,12 @@
             FollowerEvent::TableDone { operation, result } => {
                 self.table_done(now, operation, result, &mut actions);
             }
-            FollowerEvent::Hint { revision } => self.observe_revision(now, revision),
-            FollowerEvent::PeerAsks { peer, after } => {
+            FollowerEvent::RevisionAnnounced { revision } => self.observe_revision(now, revision),
+            FollowerEvent::ChangesRequested { peer, after } => {
                 self.observe_revision(now, after);
                 self.answer_peer(peer, after, &mut actions);
             }
-            FollowerEvent::PeerAnswered { peer, answer } => {
+            FollowerEvent::ChangesReceived { peer, answer } => {
                 self.peer_answered(now, peer, answer, &mut actions);
             }
         }
@@ -190,7 +190,7 @@
         }
         let due = self
             .last_log_read
-            .map_or(now, |at| now.max(at + self.options.hint_gap_ms));
+            .map_or(now, |at| now.max(at + self.options.hint_read_interval_ms));
         self.next_poll = self.next_poll.min(due);
     }
 
--- a/components/control/src/follower/event.rs
+++ b/components/control/src/follower/event.rs
@@ -25,19 +25,19 @@
         result: Result<TableReply, StoreError>,
     },
     /// Another process announced the revision that it has applied.
-    Hint {
+    RevisionAnnounced {
         /// Announced revision.
         revision: Revision,
     },
     /// A peer requests the changes after a revision.
-    PeerAsks {
+    ChangesRequested {
         /// Incarnation of the peer.
         peer: Incarnation,
         /// Revision that the peer has applied; 0 without a snapshot.
         after: Revision,
     },
     /// A peer answered.
-    PeerAnswered {
+    ChangesReceived {
         /// Incarnation of the peer.
         peer: Incarnation,
         /// Log records or one part of a snapshot.
@@ -56,12 +56,12 @@
         request: TableRequest,
     },
     /// Request the changes after a revision from a peer, and from a different peer each time.
-    AskPeer {
+    RequestChanges {
         /// Revision that the follower has applied; 0 requests a snapshot.
         after: Revision,
     },
     /// Send an answer to a peer.
-    AnswerPeer {
+    SendChanges {
         /// Incarnation of the peer.
         peer: Incarnation,
         /// Log records or one part of a snapshot, in order of parts.
--- a/components/control/src/follower/exchange.rs
+++ b/components/control/src/follower/exchange.rs
@@ -22,7 +22,7 @@
             return;
         };
         for answer in answers(snapshot, &self.recent, after) {
-            actions.push(FollowerAction::AnswerPeer { peer, answer });
+            actions.push(FollowerAction::SendChanges { peer, answer });
         }
     }
 
@@ -76,7 +76,7 @@
             return;
         }
         self.next_peer_poll = now + self.options.poll_ms;
-        actions.push(FollowerAction::AskPeer {
+        actions.push(FollowerAction::RequestChanges {
             after: self.applied(),
         });
     }
--- a/components/control/src/follower/options.rs
+++ b/components/control/src/follower/options.rs
@@ -10,7 +10,7 @@
     pub poll_ms: Duration,
     /// Shortest time between two reads of the log that hints cause. All entries receive the hint of
     /// a change at the same time, and the table serves about 2,000 reads/s to all of them together.
-    pub hint_gap_ms: Duration,
+    pub hint_read_interval_ms: Duration,
     /// Time without a reply of the table after which changes are requested from peers.
     pub peer_delay_ms: Duration,
     /// Time without a reply after which a table request is repeated. Longer than the time limit of
@@ -22,7 +22,7 @@
     fn default() -> Self {
         Self {
             poll_ms: Duration::from_secs(1),
-            hint_gap_ms: Duration::from_millis(200),
+            hint_read_interval_ms: Duration::from_millis(200),
             peer_delay_ms: Duration::from_millis(750),
             call_timeout_ms: Duration::from_secs(15),
         }
--- a/components/control/src/lease.rs
+++ b/components/control/src/lease.rs
@@ -108,7 +108,7 @@
     /// The first read is after a random part of `poll_ms`, so that entries started together do not
     /// read at the same time, and candidates acquire the lease first.
     #[must_use]
-    pub fn observing(mut self, poll_ms: Duration) -> Self {
+    pub fn into_observer(mut self, poll_ms: Duration) -> Self {
         self.poll_ms = poll_ms.max(self.duration_ms / 3);
         self.next_call += self.poll_ms.mul_f64(self.random.random_range(0.0..=1.0));
         self
--- a/components/control/src/operators.rs
+++ b/components/control/src/operators.rs
@@ -13,9 +13,9 @@
 use crate::keys;
 use crate::orders::OrderDraft;
 use crate::orders::check_name;
+use crate::plan::ChangeMeta;
 use crate::plan::Draft;
 use crate::plan::Intent;
-use crate::plan::Meta;
 use crate::plan::Planned;
 use crate::plan::plan_intent;
 use crate::plan::put;
@@ -38,7 +38,11 @@
 /// # Errors
 ///
 /// The reason why the command is not possible in the state that the rows show.
-pub fn plan(request: &CommandRequest, rows: &RowSet, meta: &Meta) -> Result<Planned, CommandError> {
+pub fn plan(
+    request: &CommandRequest,
+    rows: &RowSet,
+    meta: &ChangeMeta,
+) -> Result<Planned, CommandError> {
     plan_intent(request, rows, meta)?.ok_or_else(|| CommandError::Refused {
         item: item_key(&request.command),
         fix: "the table already has this change".to_owned(),
--- a/components/control/src/plan.rs
+++ b/components/control/src/plan.rs
@@ -23,7 +23,7 @@
 
 /// Author, reason, time and token of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Meta {
+pub struct ChangeMeta {
     /// Name of the operator, planner or agent.
     pub by: String,
     /// Reason, recorded in the audit trail.
@@ -84,7 +84,7 @@
 pub fn plan_intent<I: Intent>(
     intent: &I,
     rows: &RowSet,
-    meta: &Meta,
+    meta: &ChangeMeta,
 ) -> Result<Option<Planned>, I::Error> {
     let head: Head = rows
         .get(keys::HEAD)
@@ -98,7 +98,7 @@
 }
 
 /// Adds `head` and the log record to a draft.
-fn complete(draft: Draft, rows: &RowSet, revision: Revision, meta: &Meta) -> Planned {
+fn complete(draft: Draft, rows: &RowSet, revision: Revision, meta: &ChangeMeta) -> Planned {
     let change = Change {
         revision,
         at_ms: meta.at_ms,
--- a/components/entry/src/core/configuration.rs
+++ b/components/entry/src/core/configuration.rs
@@ -14,7 +14,7 @@
 
 use crate::core::Action;
 use crate::core::EntryCore;
-use crate::core::Note;
+use crate::core::LogEvent;
 use crate::core::pending_calls::Owner;
 
 impl EntryCore {
@@ -30,13 +30,13 @@
                     let operation = self.begin_call(Owner::Follower, operation);
                     actions.push(Action::Table { operation, request });
                 }
-                FollowerAction::AskPeer { after } => self.ask_peer(after, actions),
-                FollowerAction::AnswerPeer { peer, answer } => {
-                    actions.push(Action::AnswerPeer { peer, answer });
+                FollowerAction::RequestChanges { after } => self.ask_peer(after, actions),
+                FollowerAction::SendChanges { peer, answer } => {
+                    actions.push(Action::SendChanges { peer, answer });
                 }
                 FollowerAction::Applied { snapshot, .. } => self.apply(now, &snapshot, actions),
                 FollowerAction::Rejected { detail } => {
-                    actions.push(Action::Note(Note::ConfigurationRejected { detail }));
+                    actions.push(Action::Log(LogEvent::ConfigurationRejected { detail }));
                 }
             }
         }
@@ -49,7 +49,7 @@
         }
         let address = peers[self.next_peer % peers.len()];
         self.next_peer += 1;
-        actions.push(Action::AskPeer { address, after });
+        actions.push(Action::RequestChanges { address, after });
     }
 
     fn apply(&mut self, now: Instant, snapshot: &Rc<Snapshot>, actions: &mut Vec<Action>) {
@@ -58,7 +58,7 @@
         self.set_targets(now, previous.as_deref(), snapshot, actions);
         self.send_order_hints(now, previous.as_deref(), snapshot, actions);
         self.add_service_leases(now, snapshot);
-        actions.push(Action::Note(Note::ConfigurationApplied {
+        actions.push(Action::Log(LogEvent::ConfigurationApplied {
             revision: snapshot.revision(),
         }));
         // Requests that wait for a target may proceed.
@@ -145,7 +145,7 @@
                 // Logs once per outage, as the list is read every few seconds.
                 if !std::mem::replace(&mut self.is_host_list_failing, true) {
                     let detail = error.to_string();
-                    actions.push(Action::Note(Note::HostListFailed { detail }));
+                    actions.push(Action::Log(LogEvent::HostListFailed { detail }));
                 }
                 return;
             }
--- a/components/entry/src/core/event.rs
+++ b/components/entry/src/core/event.rs
@@ -22,7 +22,7 @@
 use wire::ToEntry;
 
 use crate::core::links::LinkId;
-use crate::core::note::Note;
+use crate::core::log_event::LogEvent;
 
 /// Input of `EntryCore::handle`.
 #[derive(Debug)]
@@ -79,14 +79,14 @@
     /// A read of the host list returned.
     Hosts(Result<Vec<HostEntry>, StoreError>),
     /// Another entry requested changes.
-    PeerAsks {
+    ChangesRequested {
         /// Incarnation of the other entry.
         peer: Incarnation,
         /// Latest revision that it has applied.
         after: Revision,
     },
     /// Another entry sent changes, or a part of a snapshot.
-    PeerAnswered {
+    ChangesReceived {
         /// Random id of the exchange.
         peer: Incarnation,
         /// Changes or part of a snapshot.
@@ -160,21 +160,21 @@
     /// Read the host list and report it as `Event::Hosts`.
     ReadHosts,
     /// Request the changes after a revision from another entry.
-    AskPeer {
+    RequestChanges {
         /// Address of the other entry.
         address: SocketAddr,
         /// Latest revision applied here.
         after: Revision,
     },
     /// Send changes to another entry that requested them.
-    AnswerPeer {
-        /// Incarnation from `Event::PeerAsks`.
+    SendChanges {
+        /// Incarnation from `Event::ChangesRequested`.
         peer: Incarnation,
         /// Changes or part of a snapshot.
         answer: PeerAnswer,
     },
     /// Write an order under a lease and report the result as `Event::OrderPlanned`.
-    PlanOrder {
+    WritePlannedOrder {
         /// Lease that the write depends on.
         held: HeldLease,
         /// Target that has to execute the order.
@@ -185,12 +185,12 @@
         reason: String,
     },
     /// Record in the audit trail why a role change was rejected.
-    KeepPlan {
+    RecordKeptPlan {
         /// Lease that the write depends on.
         held: HeldLease,
         /// Explanation in the audit trail.
         reason: String,
     },
     /// Write a log record.
-    Note(Note),
+    Log(LogEvent),
 }
--- a/components/entry/src/core/keepalive.rs
+++ b/components/entry/src/core/keepalive.rs
@@ -5,7 +5,7 @@
 use wire::Liveness;
 use wire::liveness::Pulse;
 
-use crate::core::links::LinkTimes;
+use crate::core::links::LinkTimings;
 
 /// Heartbeat state of a connection.
 pub struct Keepalive {
@@ -15,7 +15,7 @@
 }
 
 impl Keepalive {
-    pub fn new(now: Instant, times: &LinkTimes) -> Self {
+    pub fn new(now: Instant, times: &LinkTimings) -> Self {
         Self {
             liveness: Liveness::new(now, times.heartbeat_ms, times.silence_ms),
             last_heard_at: now,
@@ -24,14 +24,14 @@
     }
 
     /// Starts monitoring, with the silence limit counted from now, unless it is on already.
-    pub fn start_monitoring(&mut self, now: Instant, times: &LinkTimes) {
+    pub fn start_monitoring(&mut self, now: Instant, times: &LinkTimings) {
         if !self.is_monitored {
             self.is_monitored = true;
             self.liveness = Liveness::new(now, times.heartbeat_ms, times.silence_ms);
         }
     }
 
-    pub fn tick(&mut self, now: Instant, times: &LinkTimes) -> Pulse {
+    pub fn tick(&mut self, now: Instant, times: &LinkTimings) -> Pulse {
         if self.is_monitored {
             return self.liveness.tick(now);
         }
--- a/components/entry/src/core/leases.rs
+++ b/components/entry/src/core/leases.rs
@@ -26,7 +26,7 @@
 use crate::core::Action;
 use crate::core::CoreOptions;
 use crate::core::EntryCore;
-use crate::core::Note;
+use crate::core::LogEvent;
 use crate::core::pending_calls::Owner;
 
 /// Scope of the lease for the deletion of expired claims.
@@ -51,7 +51,7 @@
         if rendezvous::is_lease_candidate(scope, self.address, &self.peers) {
             lease
         } else {
-            lease.observing(OBSERVATION_INTERVAL_MS)
+            lease.into_observer(OBSERVATION_INTERVAL_MS)
         }
     }
 }
@@ -150,11 +150,11 @@
                     let operation = self.begin_call(Owner::Lease(service.clone()), operation);
                     actions.push(Action::Table { operation, request });
                 }
-                LeaseAction::Acquired(held) => actions.push(Action::Note(Note::LeaseAcquired {
+                LeaseAction::Acquired(held) => actions.push(Action::Log(LogEvent::LeaseAcquired {
                     scope: held.scope,
                     fencing: held.fencing,
                 })),
-                LeaseAction::Lost => actions.push(Action::Note(Note::LeaseLost {
+                LeaseAction::Lost => actions.push(Action::Log(LogEvent::LeaseLost {
                     scope: service.clone(),
                 })),
             }
@@ -210,7 +210,7 @@
         let was_failing = std::mem::replace(&mut self.is_object_store_failing, result.is_err());
         if let (Err(error), false) = (&result, was_failing) {
             let detail = error.to_string();
-            actions.push(Action::Note(Note::ObjectStoreFailed { detail }));
+            actions.push(Action::Log(LogEvent::ObjectStoreFailed { detail }));
         }
         match self.pending_calls.end(operation) {
             Some((Owner::Requests, operation)) => {
--- a/components/entry/src/core/links.rs
+++ b/components/entry/src/core/links.rs
@@ -23,12 +23,12 @@
 /// Id of a connection, unique within a run of the entry.
 pub type LinkId = u64;
 
-/// Bounds the exponent of the back-off. `LinkTimes::backoff_limit_ms` applies long before.
+/// Bounds the exponent of the back-off. `LinkTimings::backoff_limit_ms` applies long before.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Heartbeat, timeout and back-off times.
 #[derive(Debug, Clone, Copy)]
-pub struct LinkTimes {
+pub struct LinkTimings {
     /// Silence before a ping on a monitored connection.
     pub heartbeat_ms: Duration,
     /// Silence before a monitored connection is replaced.
@@ -43,7 +43,7 @@
     pub backoff_limit_ms: Duration,
 }
 
-impl Default for LinkTimes {
+impl Default for LinkTimings {
     fn default() -> Self {
         Self {
             heartbeat_ms: Duration::from_millis(500),
@@ -131,7 +131,7 @@
 
 /// Connections to the agents of all targets of this entry.
 pub struct Links {
-    times: LinkTimes,
+    times: LinkTimings,
     next_id: LinkId,
     connections: BTreeMap<TargetName, Connection>,
     targets_by_link: HashMap<LinkId, TargetName>,
@@ -141,7 +141,7 @@
 impl Links {
     /// Creates an empty set of connections.
     #[must_use]
-    pub fn new(times: LinkTimes) -> Self {
+    pub fn new(times: LinkTimings) -> Self {
         Self {
             times,
             next_id: 1,
--- a/components/entry/src/core/note.rs
+++ b/components/entry/src/core/log_event.rs
@@ -10,7 +10,7 @@
 
 /// Log event.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Note {
+pub enum LogEvent {
     /// The daemon has started to serve.
     Started {
         /// Incarnation of this process.
@@ -116,7 +116,7 @@
     },
 }
 
-impl Note {
+impl LogEvent {
     /// Event number in `docs/log-events.md`.
     #[must_use]
     pub fn code(&self) -> &'static str {
--- a/components/entry/src/core/mod.rs
+++ b/components/entry/src/core/mod.rs
@@ -11,7 +11,7 @@
 mod keepalive;
 mod leases;
 pub mod links;
-pub mod note;
+pub mod log_event;
 pub mod options;
 mod pending_calls;
 mod planning;
@@ -42,7 +42,7 @@
 
 pub use event::Action;
 pub use event::Event;
-pub use note::Note;
+pub use log_event::LogEvent;
 pub use options::CoreOptions;
 
 use crate::core::hints::OrderHints;
@@ -185,7 +185,7 @@
 
     /// Number of pairs in the prefix-cache index.
     #[must_use]
-    pub fn cache_hints(&self) -> usize {
+    pub fn prefix_index_len(&self) -> usize {
         self.router.fleet.index_len()
     }
 
@@ -226,12 +226,12 @@
                 self.handle_object_result(now, operation, result, &mut actions);
             }
             Event::Hosts(result) => self.update_hosts(now, result, &mut actions),
-            Event::PeerAsks { peer, after } => {
-                let event = FollowerEvent::PeerAsks { peer, after };
+            Event::ChangesRequested { peer, after } => {
+                let event = FollowerEvent::ChangesRequested { peer, after };
                 self.handle_follower_event(now, event, &mut actions);
             }
-            Event::PeerAnswered { peer, answer } => {
-                let event = FollowerEvent::PeerAnswered { peer, answer };
+            Event::ChangesReceived { peer, answer } => {
+                let event = FollowerEvent::ChangesReceived { peer, answer };
                 self.handle_follower_event(now, event, &mut actions);
             }
             Event::OrderPlanned { service, error } => {
@@ -295,7 +295,7 @@
 
     fn stop(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.leaving_since = Some(now);
-        actions.push(Action::Note(Note::Stopping {
+        actions.push(Action::Log(LogEvent::Stopping {
             in_flight: self.requests.in_flight(),
         }));
         self.handle_request_event(now, request::Event::Leaving, actions);
@@ -314,7 +314,7 @@
     ) {
         if let Some(detail) = error {
             self.router.order_failed(&service);
-            actions.push(Action::Note(Note::OrderNotWritten { service, detail }));
+            actions.push(Action::Log(LogEvent::OrderNotWritten { service, detail }));
         }
     }
 }
--- a/components/entry/src/core/options.rs
+++ b/components/entry/src/core/options.rs
@@ -5,7 +5,7 @@
 
 use control::FollowerOptions;
 
-use crate::core::links::LinkTimes;
+use crate::core::links::LinkTimings;
 
 /// Options of an [`crate::core::EntryCore`].
 #[derive(Debug, Clone)]
@@ -17,7 +17,7 @@
     /// Options of the change-log follower.
     pub follower: FollowerOptions,
     /// Heartbeat, timeout and back-off times of connections to agents.
-    pub links: LinkTimes,
+    pub links: LinkTimings,
     /// Number of targets of a service in the regular share of the entry; more if the rules of
     /// [`crate::core::share`] require them.
     pub share_targets: usize,
--- a/components/entry/src/core/planning.rs
+++ b/components/entry/src/core/planning.rs
@@ -12,7 +12,7 @@
 
 use crate::core::Action;
 use crate::core::EntryCore;
-use crate::core::Note;
+use crate::core::LogEvent;
 
 /// Interval of planning decisions for a service.
 const PLANNING_INTERVAL_MS: Duration = Duration::from_secs(1);
@@ -49,12 +49,12 @@
         match &decision.verdict {
             Verdict::Change { target, to, .. } => {
                 let reason = decision.to_string();
-                actions.push(Action::Note(Note::OrderPlanned {
+                actions.push(Action::Log(LogEvent::OrderPlanned {
                     service: service.clone(),
                     target: target.clone(),
                     reason: reason.clone(),
                 }));
-                actions.push(Action::PlanOrder {
+                actions.push(Action::WritePlannedOrder {
                     held,
                     target: target.clone(),
                     kind: OrderKind::ChangeRole { role: *to },
@@ -64,7 +64,7 @@
             Verdict::Keep(reason) if decision.is_news && is_rejected_change(reason) => {
                 if self.is_record_due(now, &service) {
                     let reason = decision.to_string();
-                    actions.push(Action::KeepPlan { held, reason });
+                    actions.push(Action::RecordKeptPlan { held, reason });
                 }
             }
             Verdict::Keep(_) => {}
--- a/components/entry/src/core/report.rs
+++ b/components/entry/src/core/report.rs
@@ -40,10 +40,10 @@
     /// Status of the entry and of the targets as known to it.
     #[must_use]
     pub fn status(&self, now: Instant) -> Value {
-        let behind = self.follower.behind(now).map(|behind| {
+        let lag = self.follower.lag(now).map(|lag| {
             json!({
-                "known": behind.known,
-                "for_ms": as_ms(behind.for_ms),
+                "known": lag.known,
+                "for_ms": as_ms(lag.for_ms),
             })
         });
         let services: Vec<Value> = self
@@ -69,7 +69,7 @@
             "entry": self.options.name,
             "incarnation": format!("{:016x}", self.incarnation),
             "revision": self.follower.applied(),
-            "behind": behind,
+            "behind": lag,
             "stopping": self.is_stopping(),
             "requests_in_flight": self.requests.in_flight(),
             "services": services,
--- a/components/entry/src/core/traffic.rs
+++ b/components/entry/src/core/traffic.rs
@@ -18,7 +18,7 @@
 
 use crate::core::Action;
 use crate::core::EntryCore;
-use crate::core::Note;
+use crate::core::LogEvent;
 use crate::core::links::LinkAction;
 use crate::core::links::LinkId;
 use crate::core::pending_calls::Owner;
@@ -101,7 +101,7 @@
 
     fn record_settled(&mut self, request: RequestId, summary: Summary, actions: &mut Vec<Action>) {
         let summary = Rc::new(summary);
-        actions.push(Action::Note(Note::RequestSettled {
+        actions.push(Action::Log(LogEvent::RequestSettled {
             request,
             summary: Rc::clone(&summary),
         }));
@@ -192,7 +192,7 @@
                     target,
                     incarnation,
                 } => {
-                    actions.push(Action::Note(Note::TargetUp {
+                    actions.push(Action::Log(LogEvent::TargetUp {
                         target: target.clone(),
                         incarnation,
                     }));
@@ -211,7 +211,7 @@
                     target,
                     incarnation,
                 } => {
-                    actions.push(Action::Note(Note::IncarnationEnded {
+                    actions.push(Action::Log(LogEvent::IncarnationEnded {
                         target: target.clone(),
                         incarnation,
                     }));
@@ -243,7 +243,7 @@
                 }
             }
             Datagram::Head { entry, head } if entry != self.incarnation => {
-                let event = FollowerEvent::Hint { revision: head };
+                let event = FollowerEvent::RevisionAnnounced { revision: head };
                 self.handle_follower_event(now, event, actions);
             }
             Datagram::Head { .. } | Datagram::Probe { .. } => {}
@@ -271,6 +271,6 @@
     });
     actions.extend(lost.map(|target| {
         let detail = detail.to_owned();
-        Action::Note(Note::TargetDown { target, detail })
+        Action::Log(LogEvent::TargetDown { target, detail })
     }));
 }
--- a/components/entry/src/daemon/gateway.rs
+++ b/components/entry/src/daemon/gateway.rs
@@ -67,6 +67,8 @@
     }
 
     fn metrics(&self) -> String {
-        self.daemon.meters.render(&self.daemon.core.borrow())
+        self.daemon
+            .metrics_recorder
+            .render(&self.daemon.core.borrow())
     }
 }
--- a/components/entry/src/daemon/listeners.rs
+++ b/components/entry/src/daemon/listeners.rs
@@ -16,7 +16,7 @@
 use wire::Datagram;
 
 use crate::core::Event;
-use crate::core::Note;
+use crate::core::LogEvent;
 use crate::daemon::Daemon;
 use crate::daemon::gateway::EntryGateway;
 use crate::daemon::operator::EntryControl;
@@ -154,7 +154,7 @@
                 }
                 daemon.handle_event(Event::Datagram(datagram));
             }
-            Err(error) => daemon.note(&Note::DatagramRefused {
+            Err(error) => daemon.log_event(&LogEvent::DatagramRefused {
                 detail: format!("{from}: {error}"),
             }),
         }
--- a/components/entry/src/daemon/meters.rs
+++ b/components/entry/src/daemon/metrics_recorder.rs
@@ -11,18 +11,19 @@
 use request::Summary;
 
 use crate::core::EntryCore;
-use crate::core::Note;
+use crate::core::LogEvent;
 
-/// Interval of `Meters::run_upkeep`. Until then the recorder keeps each sample of a histogram, 16
-/// bytes per request, so without upkeep memory grows while the metrics are not scraped.
+/// Interval of `MetricsRecorder::run_upkeep`. Until then the recorder keeps each sample of a
+/// histogram, 16 bytes per request, so without upkeep memory grows while the metrics are not
+/// scraped.
 pub const UPKEEP_INTERVAL_MS: Duration = Duration::from_secs(1);
 
 /// Metrics recorder of this process.
-pub struct Meters {
+pub struct MetricsRecorder {
     handle: PrometheusHandle,
 }
 
-impl Meters {
+impl MetricsRecorder {
     /// Installs the recorder of the process. After a second call in the same process, as in tests,
     /// metrics are still recorded by the first one.
     pub fn install() -> eyre::Result<Self> {
@@ -42,17 +43,17 @@
     }
 
     /// Updates the metrics that depend on a log event.
-    pub fn note(note: &Note) {
-        match note {
-            Note::RequestSettled { summary, .. } => record(summary),
-            Note::OrderPlanned { service, .. } => {
+    pub fn record_event(event: &LogEvent) {
+        match event {
+            LogEvent::RequestSettled { summary, .. } => record(summary),
+            LogEvent::OrderPlanned { service, .. } => {
                 counter!("chervilspool_orders_planned_total", "service" => service.clone())
                     .increment(1);
             }
-            Note::TargetDown { target, .. } => {
+            LogEvent::TargetDown { target, .. } => {
                 counter!("chervilspool_target_down_total", "target" => target.clone()).increment(1);
             }
-            Note::DatagramRefused { .. } => {
+            LogEvent::DatagramRefused { .. } => {
                 counter!("chervilspool_datagrams_refused_total").increment(1);
             }
             _ => {}
--- a/components/entry/src/daemon/mod.rs
+++ b/components/entry/src/daemon/mod.rs
@@ -8,7 +8,7 @@
 mod link;
 mod listeners;
 mod log;
-mod meters;
+mod metrics_recorder;
 mod operator;
 mod peers;
 mod signals;
@@ -57,9 +57,9 @@
 use crate::core::Action;
 use crate::core::EntryCore;
 use crate::core::Event;
-use crate::core::Note;
+use crate::core::LogEvent;
 use crate::core::links::LinkId;
-use crate::daemon::meters::Meters;
+use crate::daemon::metrics_recorder::MetricsRecorder;
 use crate::options;
 
 /// Timeout of a call to the table with its retries. It is shorter than the duration of a lease, so
@@ -99,7 +99,7 @@
     reschedule: Sender<()>,
     next_tick_at: Cell<Instant>,
     is_in_service: Cell<bool>,
-    meters: Meters,
+    metrics_recorder: MetricsRecorder,
     logger: Logger,
 }
 
@@ -132,7 +132,7 @@
     )?);
     let signals = signals::StopSignals::listen().wrap_err("cannot listen for signals")?;
     let incarnation = daemon.incarnation();
-    daemon.note(&Note::Started { incarnation });
+    daemon.log_event(&LogEvent::Started { incarnation });
     daemon.spawn(timer::run(daemon.clone(), rescheduled));
     daemon.spawn(run_upkeep(daemon.clone()));
     let servers = listeners::start(&daemon, listeners, outgoing);
@@ -148,14 +148,14 @@
     servers.shut_down().await;
     daemon.handle_event(Event::Leaving);
     daemon.wait_until_idle().await;
-    daemon.note(&Note::Stopped);
+    daemon.log_event(&LogEvent::Stopped);
     Ok(())
 }
 
 async fn run_upkeep(daemon: Rc<Daemon>) {
     loop {
-        smol::Timer::after(meters::UPKEEP_INTERVAL_MS).await;
-        daemon.meters.run_upkeep();
+        smol::Timer::after(metrics_recorder::UPKEEP_INTERVAL_MS).await;
+        daemon.metrics_recorder.run_upkeep();
     }
 }
 
@@ -168,10 +168,11 @@
         reschedule: Sender<()>,
     ) -> eyre::Result<Self> {
         let logger = startup::logger(settings.log).new(slog::o!("entry" => settings.name.clone()));
-        let meters = Meters::install().wrap_err("cannot install the metrics recorder")?;
+        let metrics_recorder =
+            MetricsRecorder::install().wrap_err("cannot install the metrics recorder")?;
         let clock: Rc<dyn Clock> = Rc::new(SystemClock);
         let now = clock.now();
-        let incarnation = startup::incarnation();
+        let incarnation = startup::random_incarnation();
         let keys = startup::keyring(&settings.keys).ok_or_else(|| {
             eyre::eyre!("`keys` in the settings is empty; add one with 64 hex digits")
         })?;
@@ -225,7 +226,7 @@
             reschedule,
             next_tick_at: Cell::new(now),
             is_in_service: Cell::new(true),
-            meters,
+            metrics_recorder,
             logger,
         })
     }
@@ -320,24 +321,24 @@
                     daemon.handle_event(Event::Hosts(result));
                 });
             }
-            Action::AskPeer { address, after } => {
+            Action::RequestChanges { address, after } => {
                 self.spawn(peers::request_changes(self.clone(), address, after));
             }
-            Action::AnswerPeer { peer, answer } => peers::send_answer(self, peer, answer),
-            Action::PlanOrder {
+            Action::SendChanges { peer, answer } => peers::send_answer(self, peer, answer),
+            Action::WritePlannedOrder {
                 held,
                 target,
                 kind,
                 reason,
             } => self.write_planned_order(held, target, kind, reason),
-            Action::KeepPlan { held, reason } => self.record_kept_plan(held, reason),
-            Action::Note(note) => self.note(&note),
+            Action::RecordKeptPlan { held, reason } => self.record_kept_plan(held, reason),
+            Action::Log(event) => self.log_event(&event),
         }
     }
 
-    fn note(&self, note: &Note) {
-        Meters::note(note);
-        log::write(&self.logger, note);
+    fn log_event(&self, event: &LogEvent) {
+        MetricsRecorder::record_event(event);
+        log::write(&self.logger, event);
     }
 
     fn reply(&self, request: RequestId, reply: Reply) {
@@ -356,7 +357,7 @@
             Ok(bytes) => {
                 let _ = self.datagrams.try_send((to, bytes));
             }
-            Err(error) => self.note(&Note::DatagramRefused {
+            Err(error) => self.log_event(&LogEvent::DatagramRefused {
                 detail: error.to_string(),
             }),
         }
--- a/components/entry/src/daemon/peers.rs
+++ b/components/entry/src/daemon/peers.rs
@@ -17,7 +17,7 @@
 use wire::establish;
 
 use crate::core::Event;
-use crate::core::Note;
+use crate::core::LogEvent;
 use crate::daemon::Daemon;
 
 /// Timeout of an exchange; a snapshot of the whole fleet takes well under a second.
@@ -36,7 +36,7 @@
         daemon.spawn(async move {
             let served = with_timeout(serve(&serving, stream)).await;
             if let Err(error) = served {
-                serving.note(&Note::PeerRefused {
+                serving.log_event(&LogEvent::PeerRefused {
                     detail: format!("{from}: {error}"),
                 });
             }
@@ -56,7 +56,7 @@
     let receive = async {
         while let Some(message) = reader.next_message().await? {
             if let ToPeer::ChangesAfter(after) = message {
-                daemon.handle_event(Event::PeerAsks { peer, after });
+                daemon.handle_event(Event::ChangesRequested { peer, after });
             }
         }
         Ok(())
@@ -128,7 +128,7 @@
             }
             ToPeer::Hello(_) | ToPeer::ChangesAfter(_) => return Ok(()),
         };
-        daemon.handle_event(Event::PeerAnswered { peer, answer });
+        daemon.handle_event(Event::ChangesReceived { peer, answer });
         if is_last {
             return Ok(());
         }
--- a/components/entry/src/daemon/signals.rs
+++ b/components/entry/src/daemon/signals.rs
@@ -11,7 +11,7 @@
 use slog::info;
 use smol::Timer;
 
-use crate::core::Note;
+use crate::core::LogEvent;
 use crate::daemon::Daemon;
 use crate::daemon::listeners::Ports;
 use crate::daemon::listeners::RunningServers;
@@ -62,7 +62,7 @@
     daemon.clone().spawn(async move {
         while signals.next().await.is_some() {
             let error = reload(&daemon, &ports).err();
-            daemon.note(&Note::SettingsReloaded { error });
+            daemon.log_event(&LogEvent::SettingsReloaded { error });
         }
     });
     Ok(())
--- a/components/entry/src/options.rs
+++ b/components/entry/src/options.rs
@@ -4,7 +4,7 @@
 use settings::EntrySettings;
 
 use crate::core::CoreOptions;
-use crate::core::links::LinkTimes;
+use crate::core::links::LinkTimings;
 
 /// Options of the core with defaults for what has no setting.
 #[must_use]
@@ -19,9 +19,9 @@
             poll_ms: settings.intervals.poll_ms,
             ..FollowerOptions::default()
         },
-        links: LinkTimes {
+        links: LinkTimings {
             idle_ms: settings.intervals.idle_ping_ms,
-            ..LinkTimes::default()
+            ..LinkTimings::default()
         },
         share_targets: settings.share.targets,
         probe_ms: settings.intervals.probe_ms,
--- a/components/startup/src/lib.rs
+++ b/components/startup/src/lib.rs
@@ -19,7 +19,7 @@
 /// Random identifier of this run of the process. 0 is never returned, because it marks a released
 /// row or lease.
 #[must_use]
-pub fn incarnation() -> Incarnation {
+pub fn random_incarnation() -> Incarnation {
     rand::random::<u64>().max(1)
 }
 
--- a/examples/soak/cache.rs
+++ b/examples/soak/cache.rs
@@ -26,7 +26,7 @@
         let Some(core) = &self.entries[at].core else {
             return;
         };
-        let pairs = core.cache_hints();
+        let pairs = core.prefix_index_len();
         self.count_check("cache hints bounded");
         if pairs > INDEX_LIMIT {
             self.record_violation(format!(
--- a/examples/soak/entries.rs
+++ b/examples/soak/entries.rs
@@ -13,7 +13,7 @@
 use entry::core::Action;
 use entry::core::EntryCore;
 use entry::core::Event;
-use entry::core::Note;
+use entry::core::LogEvent;
 use store::Guarded;
 use store::StoreError;
 use store::Table;
@@ -236,12 +236,12 @@
                 let input = Input::Entry(Event::Hosts(result));
                 self.deliver_after(Duration::from_millis(2), node, run, input);
             }
-            Action::AskPeer { address, after } => {
+            Action::RequestChanges { address, after } => {
                 if let Some(there @ Node::Entry(peer)) = node_at(address)
                     && !self.is_partitioned(node, there)
                 {
                     let peer_run = self.entries[peer].incarnation;
-                    let event = Event::PeerAsks { peer: run, after };
+                    let event = Event::ChangesRequested { peer: run, after };
                     self.deliver_after(
                         Duration::from_millis(3),
                         there,
@@ -250,17 +250,17 @@
                     );
                 }
             }
-            Action::AnswerPeer { peer, answer } => {
+            Action::SendChanges { peer, answer } => {
                 let there = self.entries.iter().position(|host| host.is_run(peer));
                 if let Some(there) = there
                     .map(Node::Entry)
                     .filter(|to| !self.is_partitioned(node, *to))
                 {
-                    let event = Event::PeerAnswered { peer: run, answer };
+                    let event = Event::ChangesReceived { peer: run, answer };
                     self.deliver_after(Duration::from_millis(3), there, peer, Input::Entry(event));
                 }
             }
-            Action::PlanOrder {
+            Action::WritePlannedOrder {
                 held,
                 target,
                 kind,
@@ -276,11 +276,11 @@
                 };
                 self.apply_intent(at, run, intent, reason, Some(service));
             }
-            Action::KeepPlan { held, reason } => {
+            Action::RecordKeptPlan { held, reason } => {
                 self.count("role changes weighed and refused");
                 self.apply_intent(at, run, PlanKept { held }, reason, None);
             }
-            Action::Note(event) => self.handle_entry_note(at, &event),
+            Action::Log(event) => self.handle_log_event(at, &event),
         }
     }
 
@@ -361,10 +361,10 @@
         });
     }
 
-    fn handle_entry_note(&mut self, at: usize, note: &Note) {
-        match note {
-            Note::RequestSettled { .. } | Note::ConfigurationApplied { .. } => {}
-            Note::LeaseAcquired { scope, fencing } => {
+    fn handle_log_event(&mut self, at: usize, event: &LogEvent) {
+        match event {
+            LogEvent::RequestSettled { .. } | LogEvent::ConfigurationApplied { .. } => {}
+            LogEvent::LeaseAcquired { scope, fencing } => {
                 self.count("leases acquired");
                 let line = format!("entry {at} holds the lease {scope} ({fencing})");
                 self.log(&line);
@@ -378,7 +378,7 @@
                     });
                 }
             }
-            Note::ConfigurationRejected { detail } => {
+            LogEvent::ConfigurationRejected { detail } => {
                 self.record_violation(format!("invariant 9: entry {at} rejects: {detail}"));
             }
             other => self.log(&format!("entry {at}: {other:?}")),
--- a/examples/soak/setup.rs
+++ b/examples/soak/setup.rs
@@ -11,7 +11,7 @@
 use control::CommandRequest;
 use control::Executor;
 use entry::core::CoreOptions;
-use entry::core::links::LinkTimes;
+use entry::core::links::LinkTimings;
 use fakes::FakeTarget;
 use fakes::TablePort;
 use fakes::VirtualTimer;
@@ -83,7 +83,7 @@
         name: format!("entry-{at}"),
         routing,
         follower: control::FollowerOptions::default(),
-        links: LinkTimes::default(),
+        links: LinkTimings::default(),
         share_targets: 64,
         probe_ms: Duration::from_millis(500),
         hosts_poll_ms: Duration::from_secs(1),
