--- a/components/entry/src/core/configuration.rs
+++ b/components/entry/src/core/configuration.rs
@@ -94,7 +94,7 @@
             }
             self.shares.set(&target.value);
             if self.shares.contains(name) {
-                self.router.fleet.target_set(now, &target.value);
+                self.router.fleet.set_target(now, &target.value);
             }
             if self.shares.contains(name) || self.outside_share.contains_key(name) {
                 self.connect(now, snapshot, name, actions);
@@ -110,7 +110,7 @@
         for name in removed {
             self.shares.remove(&name);
             self.outside_share.remove(&name);
-            self.router.fleet.target_removed(&name);
+            self.router.fleet.remove_target(&name);
             let links = self.links.remove(now, &name);
             self.apply_link_actions(now, links, actions);
         }
--- a/components/entry/src/core/router.rs
+++ b/components/entry/src/core/router.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use planner::AttemptOutcome;
 use planner::Decision;
-use planner::Ended;
-use planner::Job;
 use planner::Planner;
+use planner::RequestWork;
 use request::AttemptResult;
 use request::Choice;
 use request::Requirements;
@@ -87,11 +87,11 @@
         if matches!(choice, Choice::Infeasible { .. })
             && let Some(service_planner) = self.service_planners.get_mut(&requirements.service)
         {
-            let job = Job::new(
+            let work = RequestWork::new(
                 self.fleet.size_for(requirements),
                 remaining_wait(now, requirements),
             );
-            service_planner.planner.refused(now, &job);
+            service_planner.planner.refused(now, &work);
         }
         choice
     }
@@ -119,8 +119,8 @@
         }
         if let Some(service_planner) = self.service_planners.get_mut(&requirements.service) {
             service_planner.in_flight += 1;
-            let job = Job::new(size, remaining_wait(now, requirements));
-            service_planner.planner.dispatched(now, attempt, &job);
+            let work = RequestWork::new(size, remaining_wait(now, requirements));
+            service_planner.planner.dispatched(now, attempt, &work);
             self.services_by_attempt
                 .insert(attempt, requirements.service.clone());
         }
@@ -138,13 +138,13 @@
             return;
         };
         if let Some(service_planner) = self.service_planners.get_mut(&service) {
-            let ended = match result {
-                AttemptResult::Answered(usage) => Ended::Answered(usage),
-                AttemptResult::Rejected | AttemptResult::Failed => Ended::TriedAgain,
-                AttemptResult::Cancelled => Ended::Unserved,
+            let outcome = match result {
+                AttemptResult::Answered(usage) => AttemptOutcome::Answered(usage),
+                AttemptResult::Rejected | AttemptResult::Failed => AttemptOutcome::Retried,
+                AttemptResult::Cancelled => AttemptOutcome::Incomplete,
             };
             service_planner.in_flight = service_planner.in_flight.saturating_sub(1);
-            service_planner.planner.settled(now, attempt, ended);
+            service_planner.planner.settled(now, attempt, outcome);
         }
     }
 }
--- a/components/entry/src/core/share_updates.rs
+++ b/components/entry/src/core/share_updates.rs
@@ -39,7 +39,7 @@
     pub(super) fn update_shares(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let change = self.shares.recompute();
         for name in change.removed {
-            self.router.fleet.target_removed(&name);
+            self.router.fleet.remove_target(&name);
             // `release_unused` closes the connection once no attempt is in flight on it.
             self.outside_share.entry(name).or_insert(now);
         }
@@ -49,7 +49,7 @@
         for name in change.added {
             self.outside_share.remove(&name);
             if let Some(target) = snapshot.target(&name) {
-                self.router.fleet.target_set(now, &target.value);
+                self.router.fleet.set_target(now, &target.value);
             }
             self.connect(now, &snapshot, &name, actions);
         }
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -392,7 +392,7 @@
     /// Records a successful call.
     pub fn record_success(&mut self, name: &str) {
         if let Some(state) = self.targets.get_mut(name) {
-            state.ejection.succeeded();
+            state.ejection.record_success();
             state.unreachable_until = None;
             state.failures *= 1.0 - FAILURE_WEIGHT;
         }
@@ -402,7 +402,7 @@
     pub fn record_failure(&mut self, now: Instant, name: &str) -> Option<TargetChange> {
         let state = self.targets.get_mut(name)?;
         state.failures += FAILURE_WEIGHT * (1.0 - state.failures);
-        if state.ejection.failed() {
+        if state.ejection.record_failure() {
             let (first, longest) = EJECTION_MS;
             state.ejection.eject_within(now, first, longest);
             return Some(TargetChange::Ejected);
--- a/components/planner/src/fluid.rs
+++ b/components/planner/src/capacity.rs
@@ -17,9 +17,9 @@
 
 /// Number of engines in each role, indexed as [`ROLES`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Roles(pub [u32; 3]);
+pub struct RoleCounts(pub [u32; 3]);
 
-impl Roles {
+impl RoleCounts {
     /// Index of a role in [`ROLES`].
     #[must_use]
     pub fn position(role: Role) -> usize {
--- a/components/planner/src/decision.rs
+++ b/components/planner/src/decision.rs
@@ -6,7 +6,7 @@
 use types::Role;
 use types::TargetName;
 
-use crate::fluid::Roles;
+use crate::capacity::RoleCounts;
 use crate::mix::Demand;
 
 /// Reason for keeping all roles.
@@ -72,7 +72,7 @@
     /// Demand of the whole service by the slow estimate.
     pub slow: Demand,
     /// Number of open targets by role.
-    pub roles: Roles,
+    pub roles: RoleCounts,
     /// Ratio of capacity to demand with the current roles, by the fast estimate.
     pub capacity: f64,
     /// Ratio of capacity to demand after the best change, by the fast estimate.
--- a/components/planner/src/evaluation.rs
+++ b/components/planner/src/evaluation.rs
@@ -5,9 +5,9 @@
 use routing::TargetView;
 use types::Role;
 
+use crate::capacity::ROLES;
+use crate::capacity::RoleCounts;
 use crate::decision::Figures;
-use crate::fluid::ROLES;
-use crate::fluid::Roles;
 use crate::mix::Demand;
 use crate::plan::Planner;
 
@@ -52,7 +52,7 @@
             self.shift = self.shift.filter(|shift| self.is_recent(now, shift));
             return None;
         };
-        let towards_prefill = Roles::position(best.to) < Roles::position(best.from);
+        let towards_prefill = RoleCounts::position(best.to) < RoleCounts::position(best.from);
         let shift = self
             .shift
             .filter(|shift| shift.towards_prefill == towards_prefill && self.is_recent(now, shift));
@@ -85,7 +85,7 @@
             .urgent_share(&figures.fast.competing_with_urgent(), rates);
         for from in ROLES {
             for to in ROLES {
-                if from == to || figures.roles.0[Roles::position(from)] == 0 {
+                if from == to || figures.roles.0[RoleCounts::position(from)] == 0 {
                     continue;
                 }
                 let after = figures.roles.with_change(from, to);
@@ -108,7 +108,7 @@
     }
 
     /// Capacity gained, in engines. Capacity beyond the headroom does not count.
-    fn gain(&self, roles: Roles, before: f64, after: f64) -> f64 {
+    fn gain(&self, roles: RoleCounts, before: f64, after: f64) -> f64 {
         let headroom = self.settings.headroom;
         let share = (after.min(headroom) - before.min(headroom)) / headroom;
         f64::from(roles.total()) * share
--- a/components/planner/src/lib.rs
+++ b/components/planner/src/lib.rs
@@ -6,24 +6,24 @@
 //! and the figures behind it, also when no role changes. The holder of the service's lease writes
 //! the order.
 
+pub mod capacity;
 pub mod decision;
 mod evaluation;
-pub mod fluid;
 pub mod mix;
 pub mod plan;
 pub mod settings;
 mod targets;
 
+pub use capacity::RoleCounts;
 pub use decision::Decision;
 pub use decision::Figures;
 pub use decision::Reason;
 pub use decision::Verdict;
-pub use fluid::Roles;
 pub use mix::Class;
 pub use mix::Demand;
 pub use mix::Mix;
-pub use plan::Ended;
-pub use plan::Job;
+pub use plan::AttemptOutcome;
 pub use plan::Planner;
+pub use plan::RequestWork;
 pub use settings::Mechanisms;
 pub use settings::Settings;
--- a/components/planner/src/plan.rs
+++ b/components/planner/src/plan.rs
@@ -11,13 +11,13 @@
 use types::TargetName;
 use types::Usage;
 
+use crate::capacity::RoleCounts;
 use crate::decision::Decision;
 use crate::decision::Figures;
 use crate::decision::Reason;
 use crate::decision::Verdict;
 use crate::evaluation::BestChange;
 use crate::evaluation::DemandShift;
-use crate::fluid::Roles;
 use crate::mix::Class;
 use crate::mix::Mix;
 use crate::settings::Settings;
@@ -38,36 +38,36 @@
 
 /// Expected work of a request on an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Job {
+pub struct RequestWork {
     /// Prompt tokens that the prefix cache is not expected to hold.
     pub prefill_tokens: f64,
     /// Expected output tokens.
     pub decode_tokens: f64,
     /// Time after which the caller is expected to give up.
-    pub within_ms: Duration,
+    pub wait_limit_ms: Duration,
 }
 
-impl Job {
+impl RequestWork {
     /// Takes the token counts from the size that routing estimated.
     #[must_use]
-    pub fn new(size: Size, within_ms: Duration) -> Self {
+    pub fn new(size: Size, wait_limit_ms: Duration) -> Self {
         Self {
             prefill_tokens: size.prefill_tokens,
             decode_tokens: size.decode_tokens,
-            within_ms,
+            wait_limit_ms,
         }
     }
 }
 
 /// How an attempt ended, which decides how its tokens count in the demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// The reported usage replaces the expected tokens; without usage they stay.
     Answered(Usage),
     /// Another attempt replaces this one, so its tokens are subtracted.
-    TriedAgain,
+    Retried,
     /// The request was not answered completely; its expected tokens stay in the demand.
-    Unserved,
+    Incomplete,
 }
 
 /// A role change that was ordered.
@@ -109,10 +109,10 @@
     }
 
     /// Adds the expected tokens of a dispatched attempt to the demand.
-    pub fn dispatched(&mut self, now: Instant, attempt: AttemptId, job: &Job) {
-        let (prefill, decode) = (job.prefill_tokens, job.decode_tokens);
+    pub fn dispatched(&mut self, now: Instant, attempt: AttemptId, work: &RequestWork) {
+        let (prefill, decode) = (work.prefill_tokens, work.decode_tokens);
         let counted = CountedTokens {
-            class: self.class(job),
+            class: self.class(work),
             prefill,
             decode,
         };
@@ -121,19 +121,19 @@
     }
 
     /// Corrects the demand at the end of an attempt.
-    pub fn settled(&mut self, now: Instant, attempt: AttemptId, ended: Ended) {
+    pub fn settled(&mut self, now: Instant, attempt: AttemptId, outcome: AttemptOutcome) {
         let Some(counted) = self.in_flight.remove(&attempt) else {
             return;
         };
-        let (prefill, decode) = match ended {
+        let (prefill, decode) = match outcome {
             // Without usage the expected tokens remain the best estimate.
-            Ended::Answered(usage) if !usage.is_known() => return,
-            Ended::Answered(usage) => {
+            AttemptOutcome::Answered(usage) if !usage.is_known() => return,
+            AttemptOutcome::Answered(usage) => {
                 let prefill = usage.prompt_tokens.saturating_sub(usage.cached_tokens);
                 (f64::from(prefill), f64::from(usage.output_tokens))
             }
-            Ended::TriedAgain => (0.0, 0.0),
-            Ended::Unserved => return,
+            AttemptOutcome::Retried => (0.0, 0.0),
+            AttemptOutcome::Incomplete => return,
         };
         let class = counted.class;
         self.mix.add(
@@ -146,23 +146,23 @@
 
     /// Adds a request that was refused for lack of capacity to the demand. Without refused
     /// requests, a service with the wrong roles would appear to have spare capacity.
-    pub fn refused(&mut self, now: Instant, job: &Job) {
-        let class = self.class(job);
+    pub fn refused(&mut self, now: Instant, work: &RequestWork) {
+        let class = self.class(work);
         self.mix
-            .add(now, class, job.prefill_tokens, job.decode_tokens);
+            .add(now, class, work.prefill_tokens, work.decode_tokens);
     }
 
     /// Class of a request. It is urgent, whatever its prefill time, if a fully loaded prefill
     /// engine would not finish the output before the caller gives up.
-    fn class(&self, job: &Job) -> Class {
-        let rates = &self.settings.rates[Roles::position(Role::Prefill)];
+    fn class(&self, work: &RequestWork) -> Class {
+        let rates = &self.settings.rates[RoleCounts::position(Role::Prefill)];
         let step_ms = rates.step_ms
             + rates.stream_ms * f64::from(rates.slots)
             + rates.prefill_ms_per_token * f64::from(rates.chunk_tokens);
-        if job.decode_tokens * step_ms > job.within_ms.as_secs_f64() * 1e3 {
+        if work.decode_tokens * step_ms > work.wait_limit_ms.as_secs_f64() * 1e3 {
             return Class::Urgent;
         }
-        self.mix.class(job.prefill_tokens, job.decode_tokens)
+        self.mix.class(work.prefill_tokens, work.decode_tokens)
     }
 
     /// Stops waiting for the last change, because its order could not be written.
@@ -283,7 +283,7 @@
         // cost of a change.
         let slow_gain_s = (figures.gain_slow * slow_s).max(-lost_s * weight);
         figures.gain_s = best.gain * figures.shift_s + slow_gain_s;
-        if mechanisms.patience && figures.shift_s < fast_s {
+        if mechanisms.shift_delay && figures.shift_s < fast_s {
             return Err(Reason::Patience);
         }
         if mechanisms.cost && figures.gain_s <= figures.cost_s {
@@ -298,7 +298,7 @@
 
     /// Time in seconds until the engine has finished the requests that it has.
     fn drain_s(&self, target: &TargetView) -> f64 {
-        let rates = &self.settings.rates[Roles::position(target.role)];
+        let rates = &self.settings.rates[RoleCounts::position(target.role)];
         let streams = target.requests.max(1.0).min(f64::from(rates.slots));
         let step_ms = rates.step_ms + rates.stream_ms * streams;
         let prefill_ms = target.prefill_tokens * rates.prefill_ms_per_token;
@@ -312,7 +312,7 @@
         };
         let is_recent =
             now.saturating_duration_since(last.ordered_at) < self.settings.reversal_window_ms;
-        let direction = |from, to| Roles::position(to) < Roles::position(from);
+        let direction = |from, to| RoleCounts::position(to) < RoleCounts::position(from);
         let is_opposite = direction(last.from, last.to) != direction(best.from, best.to);
         self.settings.mechanisms.hysteresis && is_recent && is_opposite
     }
--- a/components/planner/src/settings.rs
+++ b/components/planner/src/settings.rs
@@ -13,7 +13,7 @@
     pub cost: bool,
     /// Change a role only after a shift has lasted for the time constant of the fast estimate, so
     /// that routing adapts first.
-    pub patience: bool,
+    pub shift_delay: bool,
     /// Multiply the cost of reversing a recent change by `reversal_factor`.
     pub hysteresis: bool,
     /// Add the gain that the slow estimate predicts for the time after the shift.
@@ -24,7 +24,7 @@
     fn default() -> Self {
         Self {
             cost: true,
-            patience: true,
+            shift_delay: true,
             hysteresis: true,
             slow_estimate: true,
         }
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -252,7 +252,7 @@
     ) -> Ranked {
         let member = &self.members[position];
         let mechanisms = self.settings.mechanisms;
-        let load = member.load.load(mechanisms.netting);
+        let load = member.load.load(mechanisms.count_unreported);
         let cached_tokens = self.cached_tokens(position, requirements);
         let saved_tokens = requirements.cache_affinity * cached_tokens;
         let job = Job {
@@ -271,7 +271,7 @@
             },
         };
         let base_rank = if mechanisms.estimate {
-            let weight = if mechanisms.work {
+            let weight = if mechanisms.count_displaced_work {
                 self.settings.work_weight
             } else {
                 0.0
--- a/components/routing/src/ejection.rs
+++ b/components/routing/src/ejection.rs
@@ -27,7 +27,7 @@
 impl Ejection {
     /// Records a success. The duration of ejections starts from the base again once the latest
     /// outcomes contain no failure; `eject` clears them.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failure_bits = (self.failure_bits << 1) & ((1 << OUTCOME_WINDOW) - 1);
         self.consecutive_failures = 0;
         if self.failure_bits == 0 {
@@ -36,7 +36,7 @@
     }
 
     /// Records a failure; returns whether the target should be ejected.
-    pub fn failed(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         self.failure_bits = ((self.failure_bits << 1) | 1) & ((1 << OUTCOME_WINDOW) - 1);
         self.consecutive_failures += 1;
         self.consecutive_failures >= CONSECUTIVE_FAILURES
--- a/components/routing/src/fleet.rs
+++ b/components/routing/src/fleet.rs
@@ -116,7 +116,7 @@
 
     /// Adds a target, or updates it from its changed row. A changed incarnation resets
     /// the state that the previous run reported.
-    pub fn target_set(&mut self, now: Instant, target: &Target) {
+    pub fn set_target(&mut self, now: Instant, target: &Target) {
         let pool = self.pool_for(&target.service);
         let Some(position) = self.positions.get(&target.name).copied() else {
             let position = self.free_positions.pop().unwrap_or(self.members.len());
@@ -163,7 +163,7 @@
     }
 
     /// Removes a target whose row was deleted or that this entry no longer uses.
-    pub fn target_removed(&mut self, target: &str) {
+    pub fn remove_target(&mut self, target: &str) {
         let Some(position) = self.positions.remove(target) else {
             return;
         };
--- a/components/routing/src/learn.rs
+++ b/components/routing/src/learn.rs
@@ -50,7 +50,7 @@
 
     pub(crate) fn record_success(&mut self, in_flight: &InFlight, usage: Usage) {
         let member = &mut self.members[in_flight.member];
-        member.ejection.succeeded();
+        member.ejection.record_success();
         if usage.is_known() {
             self.update_averages(in_flight, usage);
         }
@@ -85,7 +85,7 @@
     }
 
     pub(crate) fn record_failure(&mut self, now: Instant, position: usize) {
-        let is_ejection_due = self.members[position].ejection.failed();
+        let is_ejection_due = self.members[position].ejection.record_failure();
         if !is_ejection_due || !self.settings.mechanisms.ejection {
             return;
         }
--- a/components/routing/src/load.rs
+++ b/components/routing/src/load.rs
@@ -109,20 +109,20 @@
         self.measured_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Load of the last report, plus unreported dispatches if `netting` is set.
+    /// Load of the last report, plus unreported dispatches if `count_unreported` is set.
     ///
     /// The load does not decrease with the age of the report, so that a target that stops
     /// reporting does not attract requests.
     #[must_use]
     #[allow(clippy::cast_precision_loss)]
-    pub fn load(&self, netting: bool) -> Load {
+    pub fn load(&self, count_unreported: bool) -> Load {
         let mut load = Load::default();
         if let Some(report) = &self.report {
             load.requests = f64::from(report.running) + f64::from(report.queued);
             load.prefill_tokens = report.prefill_backlog_tokens as f64;
             load.decode_tokens = report.decode_backlog_tokens as f64;
         }
-        if netting {
+        if count_unreported {
             load.requests += self.unreported.len() as f64;
             load.prefill_tokens += self.unreported_size.prefill_tokens;
             load.decode_tokens += self.unreported_size.decode_tokens;
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -31,7 +31,7 @@
     /// Prefer targets that hold the prefix, by the prefix-cache index.
     pub cache: bool,
     /// Add the dispatches that the last report does not include to the load.
-    pub netting: bool,
+    pub count_unreported: bool,
     /// Rank by estimated completion time; otherwise by the number of requests.
     pub estimate: bool,
     /// Penalise targets that became open recently.
@@ -43,20 +43,20 @@
     /// Scale estimates by the ratio of actual to estimated time of earlier answers.
     pub correction: bool,
     /// Add the delay that a request causes to others on the target to its rank.
-    pub work: bool,
+    pub count_displaced_work: bool,
 }
 
 impl Default for Mechanisms {
     fn default() -> Self {
         Self {
             cache: true,
-            netting: true,
+            count_unreported: true,
             estimate: true,
             slow_start: true,
             ejection: true,
             feasibility: true,
             correction: true,
-            work: true,
+            count_displaced_work: true,
         }
     }
 }
--- a/examples/policy/policy.rs
+++ b/examples/policy/policy.rs
@@ -109,7 +109,7 @@
 
     pub fn set_target(&mut self, now: Instant, target: &Target) {
         match self {
-            Self::Fleet(fleet) => fleet.target_set(now, target),
+            Self::Fleet(fleet) => fleet.set_target(now, target),
             Self::Baseline(router) => router.set_target(target),
         }
     }
@@ -146,7 +146,7 @@
         settings.traffic_share = 1.0 / f64::from(entries);
         let mechanisms = &mut settings.mechanisms;
         mechanisms.cost = !disabled.has("cost");
-        mechanisms.patience = !disabled.has("patience");
+        mechanisms.shift_delay = !disabled.has("patience");
         mechanisms.hysteresis = !disabled.has("hysteresis");
         mechanisms.slow_estimate = !disabled.has("slow-estimate");
         match policy {
@@ -172,12 +172,12 @@
     }
     let mechanisms = &mut settings.mechanisms;
     mechanisms.cache = !disabled.has("cache");
-    mechanisms.netting = !disabled.has("netting");
+    mechanisms.count_unreported = !disabled.has("netting");
     mechanisms.estimate = !disabled.has("estimate");
     mechanisms.slow_start = !disabled.has("slow-start");
     mechanisms.ejection = !disabled.has("ejection");
     mechanisms.feasibility = !disabled.has("feasibility");
     mechanisms.correction = !disabled.has("correction");
-    mechanisms.work = !disabled.has("work");
+    mechanisms.count_displaced_work = !disabled.has("work");
     settings
 }
--- a/examples/policy/scenario.rs
+++ b/examples/policy/scenario.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use fakes::engine_job::EngineSettings;
-use planner::Roles;
-use planner::fluid::ROLES;
+use planner::RoleCounts;
+use planner::capacity::ROLES;
 use planner::mix::token_ms;
 use types::DataCentre;
 use types::Role;
@@ -197,7 +197,7 @@
 impl Class {
     /// Engine time of the mean call in a role, in seconds, with all shared pieces cached.
     pub fn mean_engine_s(&self, settings: &EngineSettings, role: Role) -> f64 {
-        let (prefill_ms, decode_ms) = token_ms(&settings.rates[Roles::position(role)]);
+        let (prefill_ms, decode_ms) = token_ms(&settings.rates[RoleCounts::position(role)]);
         let mean = |(from, to): (u32, u32)| f64::from(from + to) / 2.0;
         (mean(self.prompt_tokens) * prefill_ms + mean(self.output_tokens) * decode_ms) / 1e3
     }
@@ -243,10 +243,10 @@
             to.decode += rate * output_tokens;
         }
         let engines = u32::try_from(self.engines).unwrap_or(u32::MAX);
-        let mut best = (0.0, Roles::default());
+        let mut best = (0.0, RoleCounts::default());
         for prefill in 1..engines - 1 {
             for mixed in 0..engines - prefill {
-                let roles = Roles([prefill, mixed, engines - prefill - mixed]);
+                let roles = RoleCounts([prefill, mixed, engines - prefill - mixed]);
                 let capacity = roles.capacity(&demand, &settings.rates);
                 if capacity > best.0 {
                     best = (capacity, roles);
--- a/examples/policy/simulation/calls.rs
+++ b/examples/policy/simulation/calls.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use planner::Ended;
-use planner::Job;
+use planner::AttemptOutcome;
+use planner::RequestWork;
 use rand::RngExt;
 use request::AttemptResult;
 use request::Choice;
@@ -133,8 +133,8 @@
                         .expected_hang_up
                         .unwrap_or(requirements.deadline)
                         .min(requirements.deadline);
-                    let job = Job::new(size, until.saturating_duration_since(now));
-                    planner.dispatched(now, attempt, &job);
+                    let work = RequestWork::new(size, until.saturating_duration_since(now));
+                    planner.dispatched(now, attempt, &work);
                 }
                 RolePolicy::Threshold(threshold) => {
                     let (prefill, decode) = (size.prefill_tokens, size.decode_tokens);
@@ -204,12 +204,12 @@
         if entry == 0
             && let RolePolicy::Planner(planner) = &mut self.role_policy
         {
-            let ended = match result {
-                AttemptResult::Answered(usage) => Ended::Answered(usage),
-                AttemptResult::Rejected | AttemptResult::Failed => Ended::TriedAgain,
-                AttemptResult::Cancelled => Ended::Unserved,
+            let outcome = match result {
+                AttemptResult::Answered(usage) => AttemptOutcome::Answered(usage),
+                AttemptResult::Rejected | AttemptResult::Failed => AttemptOutcome::Retried,
+                AttemptResult::Cancelled => AttemptOutcome::Incomplete,
             };
-            planner.settled(now, attempt, ended);
+            planner.settled(now, attempt, outcome);
         }
     }
 
@@ -277,7 +277,7 @@
     fn add_refused_demand(&mut self, call: usize) {
         let (now, requirements) = (self.instant(), self.requirements_of(call));
         let until = self.expected_hang_up(call).unwrap_or(requirements.deadline);
-        let within_ms = until
+        let wait_limit_ms = until
             .min(requirements.deadline)
             .saturating_duration_since(now);
         let entry = self.calls[call].entry;
@@ -291,7 +291,9 @@
         let (prefill, decode) = (size.prefill_tokens, size.decode_tokens);
         match &mut self.role_policy {
             RolePolicy::None => {}
-            RolePolicy::Planner(planner) => planner.refused(now, &Job::new(size, within_ms)),
+            RolePolicy::Planner(planner) => {
+                planner.refused(now, &RequestWork::new(size, wait_limit_ms));
+            }
             RolePolicy::Threshold(threshold) => {
                 let class = threshold.mix.class(prefill, decode);
                 threshold.mix.add(now, class, prefill, decode);
