--- a/benches/path/load.rs
+++ b/benches/path/load.rs
@@ -100,7 +100,7 @@
             executor
                 .spawn(async move {
                     let request = request(&client, &path, number, 100, true);
-                    let _ = client.send_whole(request).await;
+                    let _ = client.send_buffered(request).await;
                 })
                 .detach();
         }
@@ -229,7 +229,7 @@
         }
         let sent = Instant::now();
         let response = client
-            .send_whole(request(&client, &path, number, 4, false))
+            .send_buffered(request(&client, &path, number, 4, false))
             .await;
         let is_answered = response.is_ok_and(|response| u16::from(response.status) == 200);
         if sent < warm_up_end {
--- a/components/agent/src/daemon/engine.rs
+++ b/components/agent/src/daemon/engine.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use http::BufferedResponse;
 use http::Client;
 use http::ClientError;
 use http::ClientLimits;
-use http::WholeResponse;
 use http_types::Method;
 use http_types::StatusCode;
 use serde::Deserialize;
@@ -80,7 +80,7 @@
             .map_err(|error| error.to_string())?;
         let response = self
             .queries
-            .send_whole(request)
+            .send_buffered(request)
             .await
             .map_err(|error| error.to_string())?;
         if !response.status.is_success() {
@@ -98,7 +98,7 @@
         };
         let answer = self.post("/orders", &body).await;
         match answer {
-            Ok(response) if response.status.is_success() => OrderOutcome::Taken,
+            Ok(response) if response.status.is_success() => OrderOutcome::Accepted,
             Ok(response) => {
                 let detail = format!(
                     "{} {}",
@@ -118,11 +118,15 @@
         }
     }
 
-    async fn post(&self, path: &str, body: &impl Serialize) -> Result<WholeResponse, ClientError> {
+    async fn post(
+        &self,
+        path: &str,
+        body: &impl Serialize,
+    ) -> Result<BufferedResponse, ClientError> {
         let mut request = self.orders.request(Method::Post, path)?;
         request.insert_header("content-type", "application/json");
         request.set_body(serde_json::to_string(body).unwrap_or_default());
-        self.orders.send_whole(request).await
+        self.orders.send_buffered(request).await
     }
 }
 
--- a/components/agent/src/daemon/mod.rs
+++ b/components/agent/src/daemon/mod.rs
@@ -223,13 +223,13 @@
                 let events = daemon.engine.cache_events(after).await;
                 events.map(Event::CacheEvents)
             }),
-            Action::PassOrder(order) => self.spawn_call(move |daemon| async move {
+            Action::SendOrder(order) => self.spawn_call(move |daemon| async move {
                 let outcome = daemon.engine.send_order(&order).await;
-                Some(Event::OrderPassed(outcome))
+                Some(Event::OrderAnswered(outcome))
             }),
             Action::ReserveSlot { model, version } => self.spawn_call(move |daemon| async move {
                 let slot = daemon.weights.reserve(&model, &version).await;
-                Some(Event::Slot(slot))
+                Some(Event::SlotReply(slot))
             }),
             Action::Table { operation, request } => self.spawn_call(move |daemon| async move {
                 let result = daemon.table.call(request).await;
--- a/components/agent/src/daemon/runs.rs
+++ b/components/agent/src/daemon/runs.rs
@@ -159,7 +159,7 @@
         let path = format!("/requests/{}", engine_request_id(attempt));
         if let Ok(request) = client.request(http_types::Method::Delete, &path) {
             // Best effort: the engine also stops the run when its connection closes.
-            let _ = client.send_whole(request).await;
+            let _ = client.send_buffered(request).await;
         }
     });
 }
@@ -201,7 +201,7 @@
         StatusCode::Ok => {}
         StatusCode::NotFound | StatusCode::Gone | StatusCode::RequestedRangeNotSatisfiable => {
             let detail = format!("the engine cannot continue the answer: {}", response.status);
-            let event = TargetEvent::Forgotten { detail };
+            let event = TargetEvent::RunUnknown { detail };
             daemon.handle_event(Event::Target { run, event });
             return Ok(());
         }
@@ -238,7 +238,7 @@
     } else {
         ServiceKind::Plain
     };
-    let headers = http::answer_headers(&response.headers, kind).map_err(|error| {
+    let headers = http::response_headers(&response.headers, kind).map_err(|error| {
         ClientError::Interrupted {
             detail: format!("invalid response head: {error}"),
         }
--- a/components/agent/src/daemon/server.rs
+++ b/components/agent/src/daemon/server.rs
@@ -63,7 +63,7 @@
                     sequence,
                     head,
                 }) => {
-                    receiving.handle_event(Event::Watched {
+                    receiving.handle_event(Event::EntryProbed {
                         entry,
                         sequence,
                         head,
--- a/components/agent/src/daemon/signals.rs
+++ b/components/agent/src/daemon/signals.rs
@@ -15,7 +15,7 @@
 use crate::daemon::start;
 use crate::event::Event;
 
-/// Turns SIGTERM and SIGINT into [`Event::Leaving`]. Repeated signals do not interrupt work.
+/// Turns SIGTERM and SIGINT into [`Event::StopRequested`]. Repeated signals do not interrupt work.
 pub fn spawn(daemon: &Rc<Daemon>) -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     let stopping = daemon.clone();
@@ -23,7 +23,7 @@
         while let Some(Ok(signal)) = signals.next().await {
             info!(stopping.logger(), "signal received";
                 "code" => "CS2006", "signal" => format!("{signal:?}"));
-            stopping.handle_event(Event::Leaving);
+            stopping.handle_event(Event::StopRequested);
         }
     });
     Ok(())
--- a/components/agent/src/event.rs
+++ b/components/agent/src/event.rs
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The engine accepted the order; its state shows when the order is complete.
-    Taken,
+    Accepted,
     /// The engine refused the order without any effect.
     Refused(String),
     /// The engine refused the order because its fencing number is outdated. Retries cannot succeed.
@@ -98,7 +98,7 @@
         prefix: Option<Digest>,
     },
     /// The engine does not know the run that it was asked to resume, or cannot resume it.
-    Forgotten {
+    RunUnknown {
         /// Cause, for the log.
         detail: String,
     },
@@ -119,7 +119,7 @@
 #[derive(Debug, Clone)]
 pub enum Event {
     /// An entry sent a probe. It sends hints about new orders while its head revision is not 0.
-    Watched {
+    EntryProbed {
         /// Incarnation of the probing entry.
         entry: Incarnation,
         /// Increases with every probe of the entry.
@@ -161,11 +161,11 @@
     EngineLoad(EngineLoad),
     /// Reply to `Action::ReadCacheEvents`, in ascending order of sequence numbers.
     CacheEvents(Vec<CacheEvent>),
-    /// Reply to `Action::PassOrder`.
-    OrderPassed(OrderOutcome),
+    /// Reply to `Action::SendOrder`.
+    OrderAnswered(OrderOutcome),
     /// Reply to `Action::ReserveSlot`: `None` if the slot is granted, otherwise the time until the
     /// next request.
-    Slot(Result<Option<Duration>, StoreError>),
+    SlotReply(Result<Option<Duration>, StoreError>),
     /// Reply to `Action::Table`.
     TableDone {
         /// Operation of the request.
@@ -174,7 +174,7 @@
         result: Result<TableReply, StoreError>,
     },
     /// The process was asked to stop.
-    Leaving,
+    StopRequested,
     /// Time has passed; sent at least once every `TICK_MS`.
     Tick,
 }
@@ -248,7 +248,7 @@
         after: u64,
     },
     /// Sends an order to the engine.
-    PassOrder(Order),
+    SendOrder(Order),
     /// Requests a slot for a transfer from the weight store.
     ReserveSlot {
         /// Model or adapter to load.
--- a/components/agent/src/orders.rs
+++ b/components/agent/src/orders.rs
@@ -159,7 +159,7 @@
         self.answered_at = Some(now);
         self.engine.poll_soon();
         let detail = match outcome {
-            OrderOutcome::Taken => {
+            OrderOutcome::Accepted => {
                 change.enter(now, Stage::VerifyState(now));
                 None
             }
@@ -254,7 +254,7 @@
             number: order.number,
             kind: format!("{:?}", order.kind),
         }));
-        out.push(Action::PassOrder(order));
+        out.push(Action::SendOrder(order));
     }
 
     /// Replaces an order in progress by a newer one, unless it is being sent.
--- a/components/agent/src/runs.rs
+++ b/components/agent/src/runs.rs
@@ -74,7 +74,7 @@
                 };
                 self.resumed(now, id, head, prefix, out);
             }
-            TargetEvent::Forgotten { detail } => self.fail(now, id, true, detail, out),
+            TargetEvent::RunUnknown { detail } => self.fail(now, id, true, detail, out),
             TargetEvent::End => {
                 let usage = self.by_id.get(&id).map(|attempt| attempt.tail.usage());
                 self.finish(now, id, Phase::Done(usage.unwrap_or_default()));
--- a/components/agent/src/state_machine.rs
+++ b/components/agent/src/state_machine.rs
@@ -119,11 +119,11 @@
                 self.orders.engine_state(state, &mut out);
                 self.advance(now, &mut out);
             }
-            Event::OrderPassed(outcome) => {
+            Event::OrderAnswered(outcome) => {
                 self.orders.order_answered(now, outcome, &mut out);
                 self.advance(now, &mut out);
             }
-            Event::Slot(result) => {
+            Event::SlotReply(result) => {
                 self.orders.slot_reply(now, &result);
                 self.advance(now, &mut out);
             }
@@ -132,7 +132,7 @@
                 self.orders.row_event(now, event, &mut out);
                 self.advance(now, &mut out);
             }
-            Event::Watched {
+            Event::EntryProbed {
                 entry,
                 sequence,
                 head,
@@ -140,7 +140,7 @@
             Event::ConcurrencyChanged(concurrency) => {
                 self.attempts.set_concurrency(now, concurrency, &mut out);
             }
-            Event::Leaving => self.begin_stop(now, &mut out),
+            Event::StopRequested => self.begin_stop(now, &mut out),
             Event::Tick => self.tick(now, &mut out),
         }
         out
--- a/components/agent/tests/attempts/resumes.rs
+++ b/components/agent/tests/attempts/resumes.rs
@@ -91,7 +91,7 @@
             _ => {
                 self.runs.remove(&run);
                 let detail = "forgotten".to_owned();
-                let event = TargetEvent::Forgotten { detail };
+                let event = TargetEvent::RunUnknown { detail };
                 self.event(Event::Target { run, event });
             }
         }
--- a/components/agent/tests/daemon/main.rs
+++ b/components/agent/tests/daemon/main.rs
@@ -102,13 +102,13 @@
     let request = client.request(http_types::Method::Post, path);
     let mut request = request.expect("path");
     request.set_body(body);
-    client.send_whole(request).await.expect("answer");
+    client.send_buffered(request).await.expect("answer");
 }
 
 async fn counters(engine: SocketAddr) -> EngineCounters {
     let client = Client::new(engine, ClientLimits::default());
     let request = client.request(http_types::Method::Get, "/counters");
-    let answer = client.send_whole(request.expect("path")).await;
+    let answer = client.send_buffered(request.expect("path")).await;
     serde_json::from_slice(&answer.expect("answer").body).expect("JSON")
 }
 
--- a/components/agent/tests/orders/engine.rs
+++ b/components/agent/tests/orders/engine.rs
@@ -59,7 +59,7 @@
             }
             _ => {
                 self.execute(order);
-                OrderOutcome::Taken
+                OrderOutcome::Accepted
             }
         }
     }
--- a/components/agent/tests/orders/main.rs
+++ b/components/agent/tests/orders/main.rs
@@ -184,8 +184,8 @@
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
     world.dispatch(Loaded::default());
-    world.event(Event::Leaving);
-    world.event(Event::Leaving);
+    world.event(Event::StopRequested);
+    world.event(Event::StopRequested);
     world.wait(Duration::from_secs(10));
     assert_eq!(world.exit, None);
     world.finish_run();
@@ -201,7 +201,7 @@
     for _ in 0..2 * s {
         *sequence += 1;
         for (entry, head) in (1..).zip(heads) {
-            world.event(Event::Watched {
+            world.event(Event::EntryProbed {
                 entry,
                 sequence: *sequence,
                 head: *head,
--- a/components/agent/tests/orders/world.rs
+++ b/components/agent/tests/orders/world.rs
@@ -177,7 +177,7 @@
                 Action::ReadCacheEvents { after } => self.cache_after = Some(after),
                 Action::Send { message, .. } => self.messages.push(message),
                 Action::Exit(reason) => self.exit = Some(reason),
-                Action::PassOrder(order) => {
+                Action::SendOrder(order) => {
                     let row = self.order().expect("an order in the table");
                     assert_eq!(order.number, row.number, "stale order");
                     assert_eq!(order.fencing, row.fencing, "fencing number not passed on");
@@ -189,7 +189,7 @@
                     );
                     let delay = Duration::from_millis(u64::from(self.random(200)));
                     self.pending_actions
-                        .push((self.now + delay, Action::PassOrder(order)));
+                        .push((self.now + delay, Action::SendOrder(order)));
                 }
                 Action::Table { .. } | Action::ReadEngineState | Action::ReserveSlot { .. } => {
                     let delay = Duration::from_millis(u64::from(self.random(100)));
@@ -224,9 +224,9 @@
             Action::ReserveSlot { .. } => {
                 let wait = self.random(3);
                 let wait = (wait > 0).then(|| Duration::from_millis(u64::from(wait) * 300));
-                Event::Slot(Ok(wait))
+                Event::SlotReply(Ok(wait))
             }
-            Action::PassOrder(order) => Event::OrderPassed(self.receive_order(order)),
+            Action::SendOrder(order) => Event::OrderAnswered(self.receive_order(order)),
             _ => return,
         };
         self.event(event);
@@ -318,7 +318,7 @@
         let sent = std::mem::take(&mut self.pending_actions);
         for (at, action) in sent {
             // Orders that the old process has sent can still arrive.
-            if let Action::PassOrder(order) = action {
+            if let Action::SendOrder(order) = action {
                 self.engine.in_flight.push((at, order));
             }
         }
--- a/components/callers/src/gateway.rs
+++ b/components/callers/src/gateway.rs
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Health {
     /// The entry is not shutting down; `/healthz` fails otherwise.
-    pub staying: bool,
+    pub is_live: bool,
     /// The entry has a configuration; `/readyz` fails otherwise.
-    pub ready: bool,
+    pub is_ready: bool,
 }
 
 /// Operations of the entry that the callers' API uses.
--- a/components/callers/src/port.rs
+++ b/components/callers/src/port.rs
@@ -67,7 +67,7 @@
         body_ms: limits.body_ms,
         idle_ms: limits.idle_ms,
         write_stall_ms: limits.write_stall_ms,
-        held_bodies_bytes: limits.held_bodies_bytes,
+        buffered_bodies_limit_bytes: limits.held_bodies_bytes,
     }
 }
 
@@ -99,10 +99,11 @@
 
     async fn respond(&self, request: Request, exchange: &mut Exchange) -> Result<u16, HungUp> {
         match Route::of(&request.head) {
-            Ok(Route::Health) => self.report(exchange, self.gateway.health().staying).await,
+            Ok(Route::Health) => self.report(exchange, self.gateway.health().is_live).await,
             Ok(Route::Ready) => {
                 let health = self.gateway.health();
-                self.report(exchange, health.staying && health.ready).await
+                self.report(exchange, health.is_live && health.is_ready)
+                    .await
             }
             Ok(Route::Metrics) => {
                 let mut head = Response::new(StatusCode::Ok);
@@ -179,9 +180,9 @@
     }
 
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
-        if !self.gateway.health().staying {
+        if !self.gateway.health().is_live {
             // Makes callers reconnect to another entry before this one closes its listener.
-            exchange.close_after();
+            exchange.close_after_response();
         }
         Box::pin(async move {
             let class = match self.respond(request, exchange).await {
@@ -197,7 +198,7 @@
 }
 
 async fn send_problem(exchange: &mut Exchange, problem: &Problem) -> Result<u16, HungUp> {
-    let (head, body) = problem.to_answer();
+    let (head, body) = problem.to_response();
     exchange.respond(head, &body).await?;
     Ok(problem.status)
 }
--- a/components/callers/src/relay.rs
+++ b/components/callers/src/relay.rs
@@ -141,7 +141,7 @@
     refusal: &Refusal,
 ) -> Result<u16, HungUp> {
     let problem = refusal::problem(refusal);
-    let (mut head, body) = problem.to_answer();
+    let (mut head, body) = problem.to_response();
     insert_request_id(&mut head, request);
     if refusal.retry_after_ms.is_none() {
         // Common client libraries for language models retry every 5xx response without this field.
--- a/components/callers/tests/common/mod.rs
+++ b/components/callers/tests/common/mod.rs
@@ -87,8 +87,8 @@
 
     fn health(&self) -> Health {
         Health {
-            staying: true,
-            ready: false,
+            is_live: true,
+            is_ready: false,
         }
     }
 
--- a/components/entry/src/daemon/gateway.rs
+++ b/components/entry/src/daemon/gateway.rs
@@ -61,8 +61,8 @@
 
     fn health(&self) -> Health {
         Health {
-            staying: self.daemon.is_in_service.get(),
-            ready: self.daemon.core.borrow().snapshot().is_some(),
+            is_live: self.daemon.is_in_service.get(),
+            is_ready: self.daemon.core.borrow().snapshot().is_some(),
         }
     }
 
--- a/components/fakes/src/target.rs
+++ b/components/fakes/src/target.rs
@@ -354,7 +354,7 @@
         self.last_order = Some(order.clone());
         self.last_executed = Some(order.clone());
         self.execute(now, order);
-        OrderOutcome::Taken
+        OrderOutcome::Accepted
     }
 
     /// Checks the invariants for an order that is about to be executed.
--- a/components/gateway/src/daemon/callers.rs
+++ b/components/gateway/src/daemon/callers.rs
@@ -46,12 +46,12 @@
     fn handle<'a>(&'a self, request: Request, exchange: &'a mut Exchange) -> HandlerFuture<'a> {
         Box::pin(async move {
             if !self.daemon.is_in_service.get() {
-                exchange.close_after();
+                exchange.close_after_response();
             }
             match self.daemon.protocol.request(request) {
                 Ok(request) => Box::pin(serve(&self.daemon, Rc::new(request), exchange)).await,
                 Err(problem) => {
-                    let (head, body) = problem.to_answer();
+                    let (head, body) = problem.to_response();
                     // A failure means that the caller has disconnected.
                     let _ = exchange.respond(head, &body).await;
                 }
@@ -161,7 +161,7 @@
         let info = self.daemon.protocol.answer_info(status, &response.headers);
         if info.is_not_run || info.is_other_process {
             // The connection can be reused only after the whole answer was read.
-            let _ = exchange.or_hang_up(response.into_whole()).await;
+            let _ = exchange.or_hang_up(response.into_buffered()).await;
             return CallOutcome::NotRun {
                 status,
                 is_other_process: info.is_other_process,
@@ -197,7 +197,7 @@
         exchange: &mut Exchange,
     ) -> CallOutcome {
         let status = u16::from(response.status);
-        match exchange.or_hang_up(response.into_whole()).await {
+        match exchange.or_hang_up(response.into_buffered()).await {
             Err(_) => CallOutcome::Abandoned,
             Ok(Err(error)) => CallOutcome::AnswerLost {
                 detail: error.to_string(),
@@ -255,7 +255,7 @@
         // `Cut` closes the connection before the answer is complete; `Done` has nothing to send.
         Ending::Cut | Ending::Done => return,
     };
-    let (mut head, body) = problem.to_answer();
+    let (mut head, body) = problem.to_response();
     if let Some(after_ms) = problem.retry_after_ms {
         // Callers accept fractions of a second; whole seconds would undo the jitter.
         let after = Duration::from_millis(after_ms);
--- a/components/gateway/src/daemon/mod.rs
+++ b/components/gateway/src/daemon/mod.rs
@@ -239,7 +239,7 @@
                 idle_connections: IDLE_CONNECTIONS,
                 idle_ms: IDLE_TIMEOUT_MS,
                 connect_ms: CONNECT_TIMEOUT_MS,
-                probe_ms: Some(KEEPALIVE_MS),
+                keepalive_ms: Some(KEEPALIVE_MS),
                 body_until_close: true,
                 ..ClientLimits::default()
             };
@@ -259,7 +259,7 @@
             head_limit_bytes: limits.head_bytes,
             head_ms: limits.head_ms,
             idle_ms: limits.idle_ms,
-            held_bodies_bytes: usize::try_from(bodies).unwrap_or(usize::MAX),
+            buffered_bodies_limit_bytes: usize::try_from(bodies).unwrap_or(usize::MAX),
             ..ServerLimits::default()
         }
     }
@@ -271,7 +271,7 @@
     let call = async {
         if let Ok(response) = client.forward(&head, &[], false, |_| true).await {
             // On failure the engine releases the KV cache itself a little later.
-            let _ = response.into_whole().await;
+            let _ = response.into_buffered().await;
         }
     };
     // Likewise after a timeout.
--- a/components/gateway/src/daemon/relay.rs
+++ b/components/gateway/src/daemon/relay.rs
@@ -25,7 +25,7 @@
     let head = daemon.protocol.answer_head(status, &response.headers);
     let lost = |detail: String| CallOutcome::AnswerLost { detail };
     let body = match exchange
-        .or_hang_up(with_timeout(left, response.into_whole()))
+        .or_hang_up(with_timeout(left, response.into_buffered()))
         .await
     {
         Err(HungUp) => return CallOutcome::Abandoned,
--- a/components/http/examples/load.rs
+++ b/components/http/examples/load.rs
@@ -68,7 +68,7 @@
             request.set_body(body.as_str());
         }
         let sent = Instant::now();
-        let result = client.send_whole(request).await;
+        let result = client.send_buffered(request).await;
         let mut results = results.borrow_mut();
         match result {
             Ok(answer) if answer.status.is_success() => results.latencies.push(sent.elapsed()),
--- a/components/http/src/client.rs
+++ b/components/http/src/client.rs
@@ -26,9 +26,9 @@
 use crate::error::ClientError;
 use crate::limits::ClientLimits;
 use crate::response;
+use crate::response::BufferedResponse;
 use crate::response::Expected;
 use crate::response::StreamingResponse;
-use crate::response::WholeResponse;
 use crate::socket_reader::SocketReader;
 use crate::watchdog::Watchdog;
 
@@ -98,8 +98,8 @@
     ///
     /// `NotSent` if no byte was sent, otherwise `Interrupted`; also if the body is truncated or
     /// larger than `body_limit_bytes`.
-    pub async fn send_whole(&self, request: Request) -> Result<WholeResponse, ClientError> {
-        self.send(request).await?.into_whole().await
+    pub async fn send_buffered(&self, request: Request) -> Result<BufferedResponse, ClientError> {
+        self.send(request).await?.into_buffered().await
     }
 
     /// Sends a request and returns when the head of the response has arrived.
@@ -163,7 +163,7 @@
         };
         let stream = connect.or(timeout).await?;
         let _ = stream.set_nodelay(true);
-        if let Some(interval) = self.limits.probe_ms {
+        if let Some(interval) = self.limits.keepalive_ms {
             enable_keepalive(&stream, interval).map_err(ClientError::not_sent)?;
         }
         Ok(Connection {
--- a/components/http/src/connection.rs
+++ b/components/http/src/connection.rs
@@ -69,12 +69,12 @@
             }
             Incoming::RejectedWithoutBody(problem) => {
                 exchange.is_closing |= stop.is_closed();
-                let (head, body) = problem.to_answer();
+                let (head, body) = problem.to_response();
                 let _ = exchange.respond(head, &body).await;
             }
             Incoming::Rejected(problem) => {
                 exchange.is_closing = true;
-                let (head, body) = problem.to_answer();
+                let (head, body) = problem.to_response();
                 if exchange.respond(head, &body).await.is_ok() {
                     lingering_close(&mut exchange).await;
                 }
@@ -96,7 +96,7 @@
     if exchange.response_state == ResponseState::NotStarted {
         let (head, body) = Problem::new(500, "internal", "the handler returned without a response")
             .run(RunState::Unknown)
-            .to_answer();
+            .to_response();
         let _ = exchange.respond(head, &body).await;
     }
 }
@@ -223,7 +223,7 @@
         if body.len() as u64 > limit_bytes {
             return Err(too_large(limit_bytes));
         }
-        if !reservation.grow_to(body.len(), exchange.limits.held_bodies_bytes) {
+        if !reservation.grow_to(body.len(), exchange.limits.buffered_bodies_limit_bytes) {
             return Err(overloaded());
         }
         if decoder.is_done() {
--- a/components/http/src/exchange.rs
+++ b/components/http/src/exchange.rs
@@ -183,7 +183,7 @@
 
     /// Closes the connection after this response. Adds `Connection: close` if the head was not sent
     /// yet.
-    pub fn close_after(&mut self) {
+    pub fn close_after_response(&mut self) {
         self.is_closing = true;
     }
 
--- a/components/http/src/forward.rs
+++ b/components/http/src/forward.rs
@@ -25,7 +25,7 @@
 /// Request fields that a proxy replaces or removes.
 pub const REQUEST_HOP_FIELDS: [&str; 3] = ["expect", "host", "proxy-authorization"];
 /// Response fields that a proxy removes.
-pub const ANSWER_HOP_FIELDS: [&str; 1] = ["proxy-authenticate"];
+pub const RESPONSE_HOP_FIELDS: [&str; 1] = ["proxy-authenticate"];
 /// Request fields of this system's own protocol with callers and targets.
 const SYSTEM_REQUEST_FIELDS: [&str; 6] = [
     "content-type",
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// The selected fields exceed the limits of `Headers`, or one is malformed.
-pub fn answer_headers(fields: &Fields, kind: ServiceKind) -> Result<Headers, HeadersError> {
+pub fn response_headers(fields: &Fields, kind: ServiceKind) -> Result<Headers, HeadersError> {
     select(fields, |name| match kind {
         ServiceKind::Model => ENGINE_RESPONSE_FIELDS.contains(&name),
         ServiceKind::Plain => !SYSTEM_RESPONSE_FIELDS.contains(&name),
@@ -83,7 +83,7 @@
         let name = name.as_str();
         if CONNECTION_FIELDS.contains(&name)
             || REQUEST_HOP_FIELDS.contains(&name)
-            || ANSWER_HOP_FIELDS.contains(&name)
+            || RESPONSE_HOP_FIELDS.contains(&name)
             || options.iter().any(|option| option == name)
             || !is_forwarded(name)
         {
--- a/components/http/src/limits.rs
+++ b/components/http/src/limits.rs
@@ -21,7 +21,7 @@
     pub write_stall_ms: Duration,
     /// Most bytes of request bodies buffered by all connections together; a request that exceeds
     /// it gets `503`. A body counts from its first byte until its response is complete.
-    pub held_bodies_bytes: usize,
+    pub buffered_bodies_limit_bytes: usize,
 }
 
 impl Default for ServerLimits {
@@ -34,7 +34,7 @@
             body_ms: Duration::from_secs(30),
             idle_ms: Duration::from_secs(75),
             write_stall_ms: Duration::from_secs(30),
-            held_bodies_bytes: 512 << 20,
+            buffered_bodies_limit_bytes: 512 << 20,
         }
     }
 }
@@ -53,11 +53,11 @@
     pub head_ms: Duration,
     /// Longest time without a byte of the response body.
     pub stall_ms: Duration,
-    /// Largest response body that `send_whole` buffers.
+    /// Largest response body that `send_buffered` buffers.
     pub body_limit_bytes: usize,
     /// Interval of TCP keepalive probes, which distinguish an unreachable peer from a slow one.
     /// With `None` only `head_ms` and `stall_ms` limit the wait for a peer.
-    pub probe_ms: Option<Duration>,
+    pub keepalive_ms: Option<Duration>,
     /// Accept response bodies that end when the connection closes, without `Content-Length` or
     /// chunked encoding.
     pub body_until_close: bool,
@@ -72,7 +72,7 @@
             head_ms: Duration::from_secs(30),
             stall_ms: Duration::from_secs(30),
             body_limit_bytes: 64 << 20,
-            probe_ms: None,
+            keepalive_ms: None,
             body_until_close: false,
         }
     }
--- a/components/http/src/problem.rs
+++ b/components/http/src/problem.rs
@@ -72,7 +72,7 @@
 
     /// Head and body of the response. `Retry-After` is in whole seconds, rounded up.
     #[must_use]
-    pub fn to_answer(&self) -> (Response, Vec<u8>) {
+    pub fn to_response(&self) -> (Response, Vec<u8>) {
         let status = StatusCode::try_from(self.status).unwrap_or(StatusCode::InternalServerError);
         let mut head = Response::new(status);
         head.insert_header("content-type", MEDIA_TYPE);
--- a/components/http/src/response.rs
+++ b/components/http/src/response.rs
@@ -21,7 +21,7 @@
 
 /// A response with its complete body in memory.
 #[derive(Debug)]
-pub struct WholeResponse {
+pub struct BufferedResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// Header fields.
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// As `next_chunk`; also if the body is larger than `body_limit_bytes`.
-    pub async fn into_whole(mut self) -> Result<WholeResponse, ClientError> {
+    pub async fn into_buffered(mut self) -> Result<BufferedResponse, ClientError> {
         let mut body = Vec::new();
         while let Some(chunk) = self.next_chunk().await? {
             if body.len() + chunk.len() > self.limits.body_limit_bytes {
@@ -109,7 +109,7 @@
                 body.extend_from_slice(&chunk);
             }
         }
-        Ok(WholeResponse {
+        Ok(BufferedResponse {
             status: self.status,
             headers: self.headers,
             body,
--- a/components/http/src/server.rs
+++ b/components/http/src/server.rs
@@ -125,7 +125,7 @@
     )
     .run(types::RunState::NotRun)
     .retry_after(Duration::from_secs(1))
-    .to_answer();
+    .to_response();
     head.insert_header("connection", "close");
     let bytes = crate::exchange::encode_response(head, &body, false);
     let write = async { stream.write_all(&bytes).await.is_ok() };
--- a/components/http/tests/client.rs
+++ b/components/http/tests/client.rs
@@ -29,7 +29,7 @@
         for _ in 0..3 {
             let mut request = client.request(Method::Post, "/echo?x=1").unwrap();
             request.set_body("body");
-            let answer = client.send_whole(request).await.unwrap();
+            let answer = client.send_buffered(request).await.unwrap();
             assert_eq!(answer.body, b"body");
         }
         let request = client.request(Method::Get, "/stream").unwrap();
@@ -48,7 +48,7 @@
     with_server(ServerLimits::default(), |server| async move {
         let client = Client::new(server.addr, limits());
         let request = client.request(Method::Get, "/cut").unwrap();
-        let error = client.send_whole(request).await.unwrap_err();
+        let error = client.send_buffered(request).await.unwrap_err();
         assert!(error.was_sent());
     });
     let answers: [&[u8]; 3] = [
@@ -78,7 +78,7 @@
         drop(listener);
         let client = Client::new(addr, limits());
         let request = client.request(Method::Post, "/").unwrap();
-        let error = client.send_whole(request).await.unwrap_err();
+        let error = client.send_buffered(request).await.unwrap_err();
         assert!(matches!(error, ClientError::NotSent { .. }));
     });
 }
@@ -90,7 +90,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let client = Client::new(listener.local_addr().unwrap(), limits());
         let request = client.request(Method::Post, "/").unwrap();
-        assert!(client.send_whole(request).await.unwrap_err().was_sent());
+        assert!(client.send_buffered(request).await.unwrap_err().was_sent());
     });
 }
 
@@ -120,8 +120,8 @@
             1 + futures_lite::future::or(retried, not_retried).await
         });
         let request = || client.request(Method::Post, "/").unwrap();
-        client.send_whole(request()).await.unwrap();
-        let result = client.send_whole(request()).await.map(drop);
+        client.send_buffered(request()).await.unwrap();
+        let result = client.send_buffered(request()).await.map(drop);
         (result, server.await)
     })
 }
--- a/components/http/tests/forward.rs
+++ b/components/http/tests/forward.rs
@@ -1,7 +1,7 @@
 //! Selection of the header fields that are forwarded between callers and targets.
 
-use http::answer_headers;
 use http::request_headers;
+use http::response_headers;
 use http_types::headers::Headers as Fields;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -97,7 +97,7 @@
         let is_removed =
             |name: &str| ["content-type", "x-request-id", "x-served-by"].contains(&name);
         let selected =
-            answer_headers(&fields.to_headers(), ServiceKind::Plain).expect("few fields");
+            response_headers(&fields.to_headers(), ServiceKind::Plain).expect("few fields");
         to_vec(selected) == fields.expected(is_removed)
     }
 
@@ -117,7 +117,7 @@
     // Guards against cookies and credentials of callers that reach engines.
     fn only_tracing_and_caching_fields_are_forwarded_for_engines(fields: RandomFields) -> bool {
         let request = request_headers(&fields.to_headers(), ServiceKind::Model, None);
-        let answer = answer_headers(&fields.to_headers(), ServiceKind::Model).expect("few fields");
+        let answer = response_headers(&fields.to_headers(), ServiceKind::Model).expect("few fields");
         request.expect("few fields").is_empty()
             && answer.iter().all(|header| header.name == "cache-control")
     }
--- a/components/http/tests/server.rs
+++ b/components/http/tests/server.rs
@@ -178,7 +178,7 @@
 #[test]
 fn rejects_bodies_above_the_limit_on_buffered_bytes() {
     let limits = ServerLimits {
-        held_bodies_bytes: 1500,
+        buffered_bodies_limit_bytes: 1500,
         ..ServerLimits::default()
     };
     with_server(limits, |server| async move {
--- a/components/operators/src/client.rs
+++ b/components/operators/src/client.rs
@@ -6,11 +6,11 @@
 use ::control::CommandError;
 use ::control::CommandOutcome;
 use ::control::CommandRequest;
+use http::BufferedResponse;
 use http::Client;
 use http::ClientError;
 use http::ClientLimits;
 use http::Problem;
-use http::WholeResponse;
 use http_types::Method;
 use serde::Deserialize;
 use serde::Serialize;
@@ -22,7 +22,7 @@
 
 /// An active profile, as returned by `GET /profiles`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ProfileInForce {
+pub struct ActiveProfile {
     /// Revision of the profile's latest change.
     pub revision: Revision,
     /// Content of the profile at this revision.
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// If the request fails.
-    pub async fn profiles(&self) -> Result<Vec<ProfileInForce>, OperatorError> {
+    pub async fn profiles(&self) -> Result<Vec<ActiveProfile>, OperatorError> {
         self.get("/profiles").await
     }
 
@@ -170,7 +170,7 @@
             request.insert_header("content-type", "application/json");
         }
         request.set_body(body);
-        let answer = self.http.send_whole(request).await?;
+        let answer = self.http.send_buffered(request).await?;
         if answer.status.is_success() {
             return serde_json::from_slice(&answer.body).map_err(decode_error);
         }
@@ -178,7 +178,7 @@
     }
 }
 
-fn response_error(answer: &WholeResponse) -> OperatorError {
+fn response_error(answer: &BufferedResponse) -> OperatorError {
     if let Ok(error) = serde_json::from_slice(&answer.body) {
         return OperatorError::Command(error);
     }
--- a/components/operators/src/lib.rs
+++ b/components/operators/src/lib.rs
@@ -3,7 +3,7 @@
 //! | route | response |
 //! | --- | --- |
 //! | `POST /commands` | `CommandOutcome`, or `CommandError` with a status |
-//! | `GET /profiles` | list of [`ProfileInForce`] |
+//! | `GET /profiles` | list of [`ActiveProfile`] |
 //! | `GET /services` | list of `Service` |
 //! | `GET /status` | state of targets and entries from the view of this entry |
 //! | `GET /explain/{subject}` | information about a request ID or a target |
@@ -17,9 +17,9 @@
 mod control;
 mod port;
 
+pub use client::ActiveProfile;
 pub use client::OperatorError;
 pub use client::OperatorsClient;
-pub use client::ProfileInForce;
 pub use control::Control;
 pub use control::ControlFuture;
 pub use port::OperatorsPort;
--- a/components/operators/src/port.rs
+++ b/components/operators/src/port.rs
@@ -23,7 +23,7 @@
 use smol::net::TcpListener;
 
 use crate::auth::OperatorTokens;
-use crate::client::ProfileInForce;
+use crate::client::ActiveProfile;
 use crate::control::Control;
 
 /// Largest number of records in a response to `GET /audit`.
@@ -101,7 +101,7 @@
                     .control
                     .profiles()
                     .into_iter()
-                    .map(|(revision, profile)| ProfileInForce { revision, profile })
+                    .map(|(revision, profile)| ActiveProfile { revision, profile })
                     .collect();
                 send_json(exchange, StatusCode::Ok, &profiles).await
             }
@@ -230,7 +230,7 @@
 }
 
 async fn send_problem(exchange: &mut Exchange, problem: &Problem) -> Result<(), HungUp> {
-    let (mut head, body) = problem.to_answer();
+    let (mut head, body) = problem.to_response();
     if problem.status == 401 {
         head.insert_header("www-authenticate", "Bearer");
     }
--- a/components/standin/src/platform/handler.rs
+++ b/components/standin/src/platform/handler.rs
@@ -120,7 +120,7 @@
         match self.route(request.head.method(), &path, request.body) {
             Reply::Complete(status, body) => exchange.respond(Response::new(status), &body).await,
             Reply::Problem(problem) => {
-                let (head, body) = problem.to_answer();
+                let (head, body) = problem.to_response();
                 exchange.respond(head, &body).await
             }
             Reply::Lost => Ok(()),
--- a/components/standin/tests/engine.rs
+++ b/components/standin/tests/engine.rs
@@ -46,7 +46,7 @@
         if !body.is_empty() {
             request.set_body(body);
         }
-        let response = self.http.send_whole(request).await.ok()?;
+        let response = self.http.send_buffered(request).await.ok()?;
         let value = serde_json::from_slice(&response.body).unwrap_or_default();
         Some((response.status.into(), value))
     }
--- a/components/standin/tests/forwarder.rs
+++ b/components/standin/tests/forwarder.rs
@@ -38,7 +38,7 @@
     let client = Client::new(control, ClientLimits::default());
     let mut request = client.request(Method::Post, "/mode").expect("path");
     request.set_body(mode);
-    let response = client.send_whole(request).await.expect("response");
+    let response = client.send_buffered(request).await.expect("response");
     assert!(response.status.is_success());
 }
 
--- a/components/standin/tests/platform.rs
+++ b/components/standin/tests/platform.rs
@@ -85,7 +85,7 @@
     let client = Client::new(address, ClientLimits::default());
     let mut request = client.request(method, path).unwrap();
     request.set_body(body);
-    let response = client.send_whole(request).await.unwrap();
+    let response = client.send_buffered(request).await.unwrap();
     assert!(response.status.is_success(), "{path}: {}", response.status);
     response.body
 }
--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use http::BufferedResponse;
 use http::Client;
 use http::ClientError;
 use http::ClientLimits;
 use http::Problem;
-use http::WholeResponse;
 use http_types::Method;
 use http_types::StatusCode;
 use percent_encoding::AsciiSet;
@@ -208,13 +208,16 @@
         method: Method,
         path: &str,
         body: Option<(&str, Vec<u8>)>,
-    ) -> Result<WholeResponse, StoreError> {
+    ) -> Result<BufferedResponse, StoreError> {
         let mut request = self.client.request(method, path).map_err(client_error)?;
         if let Some((media_type, body)) = body {
             request.insert_header("content-type", media_type);
             request.set_body(body);
         }
-        self.client.send_whole(request).await.map_err(client_error)
+        self.client
+            .send_buffered(request)
+            .await
+            .map_err(client_error)
     }
 }
 
@@ -227,7 +230,7 @@
 
 /// Returns the body of a successful answer. Status 503 and 429 mean that the call was refused and
 /// had no effect; after any other server error it may have taken effect.
-fn expect_success(response: WholeResponse) -> Result<Vec<u8>, StoreError> {
+fn expect_success(response: BufferedResponse) -> Result<Vec<u8>, StoreError> {
     let status = response.status;
     if status.is_success() {
         return Ok(response.body);
@@ -250,7 +253,7 @@
 }
 
 /// Delay from the problem document, which gives milliseconds, or else from `Retry-After`.
-fn retry_after(response: &WholeResponse) -> Duration {
+fn retry_after(response: &BufferedResponse) -> Duration {
     let from_body = serde_json::from_slice::<Problem>(&response.body)
         .ok()
         .and_then(|problem| problem.retry_after_ms)
--- a/components/testbed/src/deployment.rs
+++ b/components/testbed/src/deployment.rs
@@ -327,7 +327,7 @@
         request.insert_header("content-type", "application/json");
         request.set_body(serde_json::to_vec(body).ok()?);
     }
-    let response = client.send_whole(request).await.ok()?;
+    let response = client.send_buffered(request).await.ok()?;
     if response.body.is_empty() {
         return serde_json::from_str("null").ok();
     }
--- a/components/testbed/src/gateways.rs
+++ b/components/testbed/src/gateways.rs
@@ -16,10 +16,10 @@
 use std::time::Instant;
 
 use eyre::WrapErr;
+use http::BufferedResponse;
 use http::Client;
 use http::ClientError;
 use http::ClientLimits;
-use http::WholeResponse;
 use http_types::Method;
 use serde_json::json;
 use smol::LocalExecutor;
@@ -243,7 +243,7 @@
         let Ok(request) = client.request(Method::Get, "/ready") else {
             return false;
         };
-        matches!(client.send_whole(request).await, Ok(response) if response.status.is_success())
+        matches!(client.send_buffered(request).await, Ok(response) if response.status.is_success())
     }
 
     /// Waits until a gateway accepts callers.
@@ -272,7 +272,7 @@
         let client = Client::new(self.gateways[number].store_link, short_timeouts());
         let mut request = client.request(Method::Post, "/mode")?;
         request.set_body(serde_json::to_vec(&mode)?);
-        client.send_whole(request).await?;
+        client.send_buffered(request).await?;
         Ok(())
     }
 
@@ -407,7 +407,7 @@
 /// # Errors
 ///
 /// There is no complete response.
-pub async fn send(client: &Client, sent: &Sent<'_>) -> Result<WholeResponse, ClientError> {
+pub async fn send(client: &Client, sent: &Sent<'_>) -> Result<BufferedResponse, ClientError> {
     let method = if sent.path.starts_with("/read/") {
         Method::Get
     } else {
@@ -424,5 +424,5 @@
         let parts = format!("5c1e:{shared},{:x}:{own}", tokens + 7);
         request.insert_header("x-prompt-prefix", parts);
     }
-    client.send_whole(request).await
+    client.send_buffered(request).await
 }
--- a/components/testbed/tests/reload.rs
+++ b/components/testbed/tests/reload.rs
@@ -251,7 +251,7 @@
             request.insert_header("content-type", "application/json");
             request.insert_header("x-caller", "reload");
             request.set_body(body.to_string());
-            let response = client.send_whole(request).await;
+            let response = client.send_buffered(request).await;
             let response = response.map_err(|error| eyre::eyre!("{prompt} failed: {error}"))?;
             let text = String::from_utf8_lossy(&response.body).into_owned();
             let value: Value = serde_json::from_str(&text).unwrap_or_default();
--- a/examples/chaos/callers.rs
+++ b/examples/chaos/callers.rs
@@ -279,7 +279,7 @@
         message.insert_header("idempotency-key", request.key.as_str());
     }
     message.set_body(request.body.clone());
-    let Ok(response) = client.send_whole(message).await else {
+    let Ok(response) = client.send_buffered(message).await else {
         return Told::Nothing;
     };
     if u16::from(response.status) == 200 {
--- a/examples/soak/agents.rs
+++ b/examples/soak/agents.rs
@@ -152,7 +152,7 @@
         }
         host.is_stopping = true;
         let run = host.incarnation;
-        let event = Input::Agent(Event::Leaving);
+        let event = Input::Agent(Event::StopRequested);
         self.deliver_after(Duration::from_millis(1), Node::Agent(at), run, event);
     }
 
@@ -213,7 +213,7 @@
             // The fake engine drops a run when its connection is lost.
             Action::Resume { run: number, .. } => {
                 let detail = "forgotten".to_owned();
-                let event = agent::TargetEvent::Forgotten { detail };
+                let event = agent::TargetEvent::RunUnknown { detail };
                 let input = Input::Agent(Event::Target { run: number, event });
                 self.deliver_after(Duration::from_millis(2), node, run, input);
             }
@@ -233,7 +233,7 @@
                 let events = self.agents[at].target.cache.read(now, after);
                 self.deliver_cache_events(at, run, events);
             }
-            Action::PassOrder(order) => {
+            Action::SendOrder(order) => {
                 // A delayed order is a fault, and recovery is measured without faults.
                 let is_delayed = self.chance(200) && self.phase != Phase::Recovery;
                 let delay = if is_delayed {
@@ -243,13 +243,13 @@
                 };
                 let engine = self.agents[at].generation;
                 self.agents[at].orders_in_flight += 1;
-                let pass = SimEvent::PassOrder(at, run, engine, Box::new(order));
-                self.schedule_after(delay, pass);
+                let send = SimEvent::SendOrder(at, run, engine, Box::new(order));
+                self.schedule_after(delay, send);
             }
             Action::ReserveSlot { .. } => {
                 let is_busy = self.chance(300);
                 let wait = is_busy.then(|| Duration::from_millis(400));
-                let input = Input::Agent(Event::Slot(Ok(wait)));
+                let input = Input::Agent(Event::SlotReply(Ok(wait)));
                 self.deliver_after(Duration::from_millis(2), node, run, input);
             }
             Action::Table { operation, request } => {
@@ -296,7 +296,7 @@
             "engine {at} gets order {} {:?}: {outcome:?}",
             order.number, order.kind
         ));
-        if outcome == OrderOutcome::Taken {
+        if outcome == OrderOutcome::Accepted {
             self.check_executed_order(at, run, order);
         }
         let is_lost = self.phase == Phase::Faults && self.chance(150);
@@ -306,7 +306,7 @@
         } else {
             outcome
         };
-        let input = Input::Agent(Event::OrderPassed(outcome));
+        let input = Input::Agent(Event::OrderAnswered(outcome));
         self.deliver_after(Duration::from_millis(1), Node::Agent(at), run, input);
     }
 
--- a/examples/soak/net.rs
+++ b/examples/soak/net.rs
@@ -256,12 +256,12 @@
                 };
                 let run = self.agents[at].incarnation;
                 let from = entry_address(entry);
-                let watched = agent::Event::Watched {
+                let probed = agent::Event::EntryProbed {
                     entry: process,
                     sequence,
                     head,
                 };
-                self.deliver_after(delay, to, run, Input::Agent(watched));
+                self.deliver_after(delay, to, run, Input::Agent(probed));
                 let event = agent::Event::Probe { from, sequence };
                 self.deliver_after(delay, to, run, Input::Agent(event));
             }
--- a/examples/soak/simulation.rs
+++ b/examples/soak/simulation.rs
@@ -70,7 +70,7 @@
     Frame(usize, bool, Box<Frame>),
     Connect(usize, Incarnation, u64, String, std::net::SocketAddr),
     EndPartitions,
-    PassOrder(usize, Incarnation, u64, Box<types::Order>),
+    SendOrder(usize, Incarnation, u64, Box<types::Order>),
     EngineState(usize, Incarnation),
     Caller(CallerEvent),
     Repair(Repair),
@@ -331,7 +331,7 @@
                 self.connect(entry, incarnation, link, &target, address);
             }
             SimEvent::EndPartitions => self.end_expired_partitions(),
-            SimEvent::PassOrder(target, incarnation, engine, order) => {
+            SimEvent::SendOrder(target, incarnation, engine, order) => {
                 self.pass_order(target, incarnation, engine, &order);
             }
             SimEvent::EngineState(target, incarnation) => {
--- a/src/cmd/profile.rs
+++ b/src/cmd/profile.rs
@@ -2,8 +2,8 @@
 
 use control::Command;
 use jsonc_parser::parse_to_serde_value;
+use operators::ActiveProfile;
 use operators::OperatorsClient;
-use operators::ProfileInForce;
 use serde_json::Value;
 use types::Profile;
 use types::Revision;
@@ -76,7 +76,7 @@
     Ok(())
 }
 
-async fn find_profile(client: &OperatorsClient, name: &str) -> Result<ProfileInForce, Failure> {
+async fn find_profile(client: &OperatorsClient, name: &str) -> Result<ActiveProfile, Failure> {
     let profiles = client.profiles().await?;
     profiles
         .into_iter()
@@ -101,7 +101,7 @@
         .collect()
 }
 
-fn profile_rows(options: &EntryOptions, profiles: &[ProfileInForce]) -> Result<Value, Failure> {
+fn profile_rows(options: &EntryOptions, profiles: &[ActiveProfile]) -> Result<Value, Failure> {
     if options.json {
         return to_value(&profiles);
     }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use http::BufferedResponse;
 use http::Client;
 use http::ClientLimits;
-use http::WholeResponse;
 use smol::LocalExecutor;
 use smol::Timer;
 use standin::feed_store::StoreMode;
@@ -68,7 +68,11 @@
     }
 }
 
-async fn send_request(testbed: &GatewayBed, id: &str, path: &str) -> eyre::Result<WholeResponse> {
+async fn send_request(
+    testbed: &GatewayBed,
+    id: &str,
+    path: &str,
+) -> eyre::Result<BufferedResponse> {
     send_request_to(testbed, 0, id, path).await
 }
 
@@ -77,7 +81,7 @@
     gateway: usize,
     id: &str,
     path: &str,
-) -> eyre::Result<WholeResponse> {
+) -> eyre::Result<BufferedResponse> {
     let client = Client::new(testbed.gateways[gateway].callers, ClientLimits::default());
     let tokens = (path.starts_with("/draft/") || path.starts_with("/tag/")).then_some(4_000);
     let request = Sent {
@@ -94,7 +98,7 @@
     (1..=EVENTS).map(|number| event(id, number)).collect()
 }
 
-fn body_text(response: &WholeResponse) -> &str {
+fn body_text(response: &BufferedResponse) -> &str {
     std::str::from_utf8(&response.body).unwrap_or_default()
 }
 
--- a/tests/headers.rs
+++ b/tests/headers.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use eyre::OptionExt;
+use http::BufferedResponse;
 use http::Client;
 use http::ClientLimits;
-use http::WholeResponse;
 use http_types::Method;
 use http_types::headers::HeaderValue;
 use serde_json::json;
@@ -95,7 +95,7 @@
 }
 
 /// Sends a request with the same idempotency key on each call.
-async fn send(entry: SocketAddr) -> eyre::Result<WholeResponse> {
+async fn send(entry: SocketAddr) -> eyre::Result<BufferedResponse> {
     let client = Client::new(entry, ClientLimits::default());
     let path = format!("/services/{PLAIN_SERVICE}/ordenes");
     let mut request = client.request(Method::Post, &path)?;
@@ -116,7 +116,7 @@
     request.append_header("x-tag", "two");
     request.insert_header("content-type", "application/json");
     request.set_body(json!({"mulas": 2}).to_string());
-    Ok(client.send_whole(request).await?)
+    Ok(client.send_buffered(request).await?)
 }
 
 async fn counters(deployment: &Deployment) -> eyre::Result<PlainCounters> {
@@ -127,7 +127,7 @@
 
 /// Guards against responses, original or stored, that lack fields of the service, merge fields of
 /// one name, or include hop-by-hop fields of the connection between agent and service.
-fn check_response(response: &WholeResponse) -> eyre::Result<()> {
+fn check_response(response: &BufferedResponse) -> eyre::Result<()> {
     eyre::ensure!(
         response.status == 200,
         "expected status 200, got {}",
