--- a/benches/slopes/messages.rs
+++ b/benches/slopes/messages.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use types::AttemptId;
 use types::LoadReport;
-use types::Loaded;
+use types::LoadedModel;
 use types::Role;
 use wire::Datagram;
 use wire::FrameReader;
@@ -55,7 +55,7 @@
         received: 1_000_000,
         cache_used_permille: 900,
         role: Role::Mixed,
-        loaded: Loaded {
+        loaded: LoadedModel {
             model: "refugio-70b".to_owned(),
             version: "2028-11".to_owned(),
             adapters: vec!["bitacora".to_owned()],
--- a/components/agent/src/attempt.rs
+++ b/components/agent/src/attempt.rs
@@ -4,7 +4,7 @@
 
 use types::AttemptId;
 use types::Headers;
-use types::Loaded;
+use types::LoadedModel;
 use types::RunState;
 use types::Usage;
 use types::Work;
@@ -106,7 +106,7 @@
     /// The attempt is not started after this.
     pub deadline: Instant,
     /// Model, version and adapters that must be loaded.
-    pub needs: Loaded,
+    pub needs: LoadedModel,
     /// Request to send; taken when the run starts.
     pub work: Option<Box<Work>>,
     /// Length of the complete request body.
--- a/components/agent/src/change.rs
+++ b/components/agent/src/change.rs
@@ -51,7 +51,7 @@
     pub fn start(now: Instant, order: Order, base: &DesiredState) -> Self {
         let desired = order
             .kind
-            .concerns_engine()
+            .is_sent_to_engine()
             .then(|| base.after(&order.kind));
         let step = order.kind.clone();
         let stage = first_stage(&step);
--- a/components/agent/src/daemon/start.rs
+++ b/components/agent/src/daemon/start.rs
@@ -8,14 +8,14 @@
 use settings::AgentSettings;
 use slog::Logger;
 use slog::o;
-use store::BudgetOptions;
-use store::GuardContext;
-use store::Guarded;
 use store::HttpOptions;
 use store::HttpTable;
 use store::HttpWeightStore;
-use store::RateBudget;
+use store::RateLimiter;
+use store::RateLimits;
+use store::RetryContext;
 use store::RetryOptions;
+use store::RetryingTable;
 use store::SystemTimer;
 use types::Incarnation;
 use types::SystemClock;
@@ -38,12 +38,12 @@
         .ok_or_else(|| eyre!("field `keys`: state at least one key"))?;
     let logger = logger(&settings, limits.incarnation);
     let table = HttpTable::new(settings.platform.table, HttpOptions::default());
-    let context = GuardContext {
+    let context = RetryContext {
         clock: Rc::new(SystemClock),
         timer: Rc::new(SystemTimer),
-        budget: Rc::new(RateBudget::new(&BudgetOptions::default(), Instant::now())),
+        rate_limit: Rc::new(RateLimiter::new(&RateLimits::default(), Instant::now())),
     };
-    let guarded = Guarded::new(
+    let retrying_table = RetryingTable::new(
         Rc::new(table),
         RetryOptions::default(),
         context,
@@ -55,7 +55,7 @@
         listen: settings.listen,
         target: settings.target.address,
         keys,
-        table: Rc::new(guarded),
+        table: Rc::new(retrying_table),
         weights: Rc::new(weights),
         logger,
         reload: Some(ReloadableSettings {
--- a/components/agent/src/engine_monitor.rs
+++ b/components/agent/src/engine_monitor.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use types::Loaded;
+use types::LoadedModel;
 use types::OrderKind;
 use types::Role;
 
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DesiredState {
     /// Model, version and adapters to load.
-    pub loaded: Loaded,
+    pub loaded: LoadedModel,
     pub role: Role,
 }
 
@@ -28,7 +28,7 @@
         match kind {
             OrderKind::LoadModel { model, version } => {
                 // Adapters are specific to a model, so a new model starts without any.
-                next.loaded = Loaded {
+                next.loaded = LoadedModel {
                     model: model.clone(),
                     version: version.clone(),
                     adapters: Vec::new(),
--- a/components/agent/src/event.rs
+++ b/components/agent/src/event.rs
@@ -12,7 +12,7 @@
 use types::CacheEvent;
 use types::Headers;
 use types::Incarnation;
-use types::Loaded;
+use types::LoadedModel;
 use types::Order;
 use types::Revision;
 use types::Role;
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
     /// Loaded model, version and adapters.
-    pub loaded: Loaded,
+    pub loaded: LoadedModel,
     /// Current role.
     pub role: Role,
     /// A change is in progress and the engine accepts no work.
--- a/components/agent/src/load.rs
+++ b/components/agent/src/load.rs
@@ -5,7 +5,7 @@
 
 use types::Incarnation;
 use types::LoadReport;
-use types::Loaded;
+use types::LoadedModel;
 use types::OrderNumber;
 use types::Role;
 
@@ -28,7 +28,7 @@
     /// Current role of the engine.
     pub role: Role,
     /// Model, version and adapters loaded.
-    pub loaded: Loaded,
+    pub loaded: LoadedModel,
     /// Number of the last executed order.
     pub applied: OrderNumber,
     /// Rejects new work for good: drained, replaced, withdrawn, stopping or superseded.
@@ -51,7 +51,7 @@
             queued: 0,
             queued_tokens: 0,
             role: Role::default(),
-            loaded: Loaded::default(),
+            loaded: LoadedModel::default(),
             applied: 0,
             leaving: false,
             away: true,
@@ -92,7 +92,7 @@
 
     /// Whether everything that an attempt needs is loaded; empty fields match any value.
     #[must_use]
-    pub fn has_loaded(&self, needs: &Loaded) -> bool {
+    pub fn has_loaded(&self, needs: &LoadedModel) -> bool {
         (needs.model.is_empty() || needs.model == self.loaded.model)
             && (needs.version.is_empty() || needs.version == self.loaded.version)
             && needs
--- a/components/agent/src/orders.rs
+++ b/components/agent/src/orders.rs
@@ -314,7 +314,7 @@
             return;
         };
         if latest.number > self.last_started {
-            if latest.kind.concerns_engine() && !self.is_model() {
+            if latest.kind.is_sent_to_engine() && !self.is_model() {
                 return;
             }
             self.last_started = latest.number;
--- a/components/agent/src/target_load.rs
+++ b/components/agent/src/target_load.rs
@@ -39,7 +39,7 @@
         let registered = self.row.registered.as_ref();
         load.leaving = self.is_inactive()
             || registered.is_some_and(|registered| !registered.state.accepts_work())
-            || change.is_some_and(|change| change.order.kind.ends_service());
+            || change.is_some_and(|change| change.order.kind.stops_new_work());
         load.applied = registered.map_or(0, |registered| registered.applied);
         let has_lost_state = registered.is_some_and(|registered| {
             registered.applied > 0
--- a/components/agent/tests/attempts/world.rs
+++ b/components/agent/tests/attempts/world.rs
@@ -12,7 +12,7 @@
 use agent::RunId;
 use agent::TargetEvent;
 use store::rows::Rows;
-use types::Loaded;
+use types::LoadedModel;
 use types::Method;
 use types::RunState;
 use types::Work;
@@ -276,7 +276,7 @@
             attempt: id(attempt),
             incarnation: INCARNATION,
             revision: 1,
-            needs: Loaded::default(),
+            needs: LoadedModel::default(),
             deadline_ms: Duration::from_secs(u64::from(amount % 8)),
             priority: amount % 4,
             idempotent: is_idempotent(attempt),
--- a/components/agent/tests/daemon/entry.rs
+++ b/components/agent/tests/daemon/entry.rs
@@ -5,7 +5,7 @@
 
 use smol::net::TcpStream;
 use types::AttemptId;
-use types::Loaded;
+use types::LoadedModel;
 use types::Method;
 use types::Work;
 use wire::AnswerDigest;
@@ -127,7 +127,7 @@
         attempt,
         incarnation: INCARNATION,
         revision: 1,
-        needs: Loaded {
+        needs: LoadedModel {
             model: "demo".to_owned(),
             version: "1".to_owned(),
             adapters: Vec::new(),
--- a/components/agent/tests/orders/engine.rs
+++ b/components/agent/tests/orders/engine.rs
@@ -9,7 +9,7 @@
 use agent::OrderOutcome;
 use agent::RunId;
 use agent::TargetEvent;
-use types::Loaded;
+use types::LoadedModel;
 use types::Order;
 use types::OrderKind;
 
@@ -29,7 +29,7 @@
 
 pub fn initial_state() -> EngineState {
     EngineState {
-        loaded: Loaded {
+        loaded: LoadedModel {
             model: "base".to_owned(),
             version: "1".to_owned(),
             adapters: Vec::new(),
@@ -117,7 +117,7 @@
         let state = &mut self.engine.state;
         match &order.kind {
             OrderKind::LoadModel { model, version } => {
-                state.loaded = Loaded {
+                state.loaded = LoadedModel {
                     model: model.clone(),
                     version: version.clone(),
                     adapters: Vec::new(),
--- a/components/agent/tests/orders/main.rs
+++ b/components/agent/tests/orders/main.rs
@@ -11,7 +11,7 @@
 use control::keys;
 use seeded::quickcheck;
 use types::CacheEvent;
-use types::Loaded;
+use types::LoadedModel;
 use types::OrderKind;
 use types::Role;
 use wire::Hello;
@@ -59,11 +59,11 @@
 fn finishes_work_before_an_order_and_rejects_new_work() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
-    world.dispatch(Loaded::default());
+    world.dispatch(LoadedModel::default());
     world.issue_order(role(Role::Decode), false);
     world.wait(Duration::from_secs(10));
     assert!(world.engine.executed.is_empty());
-    world.dispatch(Loaded::default());
+    world.dispatch(LoadedModel::default());
     let last = world.messages.last();
     assert!(matches!(
         last,
@@ -83,9 +83,9 @@
 fn rejects_work_for_a_model_that_is_not_loaded() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
-    world.dispatch(Loaded {
+    world.dispatch(LoadedModel {
         model: "other".to_owned(),
-        ..Loaded::default()
+        ..LoadedModel::default()
     });
     assert!(matches!(
         world.messages.last(),
@@ -151,7 +151,7 @@
 fn exits_when_another_process_registers_for_the_target() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
-    world.dispatch(Loaded::default());
+    world.dispatch(LoadedModel::default());
     let mut target = world.target().expect("registered");
     target.incarnation = 99;
     let row = Versioned {
@@ -163,7 +163,7 @@
     world.issue_order(role(Role::Decode), false);
     world.wait(Duration::from_secs(5));
     assert!(world.engine.executed.is_empty());
-    world.dispatch(Loaded::default());
+    world.dispatch(LoadedModel::default());
     assert!(matches!(
         world.messages.last(),
         Some(ToEntry::Rejected {
@@ -183,7 +183,7 @@
 fn finishes_work_and_releases_its_row_when_stopped() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
-    world.dispatch(Loaded::default());
+    world.dispatch(LoadedModel::default());
     world.event(Event::StopRequested);
     world.event(Event::StopRequested);
     world.wait(Duration::from_secs(10));
@@ -248,7 +248,7 @@
 fn ignores_hints_for_orders_that_were_read() {
     let mut world = World::new();
     world.wait(Duration::from_secs(1));
-    world.dispatch(Loaded::default());
+    world.dispatch(LoadedModel::default());
     world.issue_order(role(Role::Decode), false);
     world.wait(Duration::from_secs(3));
     let before = world.table_reads;
--- a/components/agent/tests/orders/world.rs
+++ b/components/agent/tests/orders/world.rs
@@ -20,7 +20,7 @@
 use store::Transaction;
 use store::rows::Rows;
 use types::AttemptId;
-use types::Loaded;
+use types::LoadedModel;
 use types::Method;
 use types::Order;
 use types::OrderKind;
@@ -264,7 +264,7 @@
         }
     }
 
-    pub fn dispatch(&mut self, needs: Loaded) {
+    pub fn dispatch(&mut self, needs: LoadedModel) {
         self.requests += 1;
         let work = Work {
             service: "desk".to_owned(),
@@ -338,7 +338,7 @@
             8 if amount < 100 => self.crash(u64::from(amount) * 20),
             8 => self.engine.crash_in_change = true,
             9 if amount < 40 => self.restart(),
-            9 | 10 => self.dispatch(Loaded::default()),
+            9 | 10 => self.dispatch(LoadedModel::default()),
             _ => self.finish_run(),
         }
     }
--- a/components/callers/tests/common/mod.rs
+++ b/components/callers/tests/common/mod.rs
@@ -15,8 +15,8 @@
 use callers::Health;
 use futures_lite::AsyncReadExt;
 use futures_lite::AsyncWriteExt;
+use settings::DaemonSettings;
 use settings::EntrySettings;
-use settings::Loaded;
 use smol::LocalExecutor;
 use smol::net::TcpListener;
 use smol::net::TcpStream;
@@ -100,7 +100,7 @@
 pub fn entry_settings() -> EntrySettings {
     let text = include_str!("../../../../examples/settings/kitagawa-entry.jsonc");
     match settings::parse("kitagawa-entry.jsonc", text) {
-        Ok(Loaded::Entry(settings)) => *settings,
+        Ok(DaemonSettings::Entry(settings)) => *settings,
         other => panic!("{other:?}"),
     }
 }
--- a/components/control/src/follower/options.rs
+++ b/components/control/src/follower/options.rs
@@ -14,7 +14,7 @@
     /// Time without a reply of the table after which changes are requested from peers.
     pub peer_delay_ms: Duration,
     /// Time without a reply after which a table request is repeated. Longer than the time limit of
-    /// the guarded table.
+    /// the retrying table.
     pub call_timeout_ms: Duration,
 }
 
--- a/components/control/src/orders.rs
+++ b/components/control/src/orders.rs
@@ -232,7 +232,7 @@
         (OrderKind::Resume, TargetState::Active) => "the target is already active",
         (OrderKind::Drain, TargetState::Draining) => "the target is already draining",
         (OrderKind::Replace, TargetState::Replacing) => "the target is already being replaced",
-        (kind, _) if kind.concerns_engine() && target.kind == ServiceKind::Plain => {
+        (kind, _) if kind.is_sent_to_engine() && target.kind == ServiceKind::Plain => {
             "a plain service has no models, adapters or roles"
         }
         (OrderKind::ChangeRole { role }, _) if *role == target.role => {
--- a/components/control/src/targets.rs
+++ b/components/control/src/targets.rs
@@ -7,7 +7,7 @@
 
 use types::ChangeBody;
 use types::Incarnation;
-use types::Loaded;
+use types::LoadedModel;
 use types::Order;
 use types::OrderKind;
 use types::OrderNumber;
@@ -44,7 +44,7 @@
         /// Role after the order.
         role: Role,
         /// Model, version and adapters after the order.
-        loaded: Loaded,
+        loaded: LoadedModel,
     },
     /// The agent stops and releases its row; the row's incarnation becomes 0.
     Release {
--- a/components/control/tests/commands.rs
+++ b/components/control/tests/commands.rs
@@ -168,9 +168,9 @@
             .enumerate()
             .map(|(number, choice)| request(arbitrary_command(*choice, number)))
             .collect();
-        fixture.table.script(faults.iter().map(|fault| fault.0));
+        fixture.table.add_faults(faults.iter().map(|fault| fault.0));
         let outcomes = run_concurrently(&fixture, &requests, &choices);
-        fixture.table.flush_late();
+        fixture.table.apply_late_requests();
         let log = fixture.log();
         let end = fixture.at(fixture.head());
         let references_hold = end
--- a/components/control/tests/common/mod.rs
+++ b/components/control/tests/common/mod.rs
@@ -20,21 +20,21 @@
 use control::keys;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
-use store::BudgetOptions;
 use store::CallFault;
-use store::GuardContext;
-use store::Guarded;
 use store::ManualTimer;
 use store::MemoryTable;
-use store::RateBudget;
+use store::RateLimiter;
+use store::RateLimits;
+use store::RetryContext;
 use store::RetryOptions;
+use store::RetryingTable;
 use store::StoreFuture;
 use store::Table;
 use store::TableReply;
 use store::TableRequest;
 use types::Change;
 use types::Clock;
-use types::Loaded;
+use types::LoadedModel;
 use types::ManualClock;
 use types::Profile;
 use types::Role;
@@ -71,23 +71,23 @@
         }
     }
 
-    /// An executor on a guarded table, as used in an entry.
+    /// An executor on a retrying table, as used in an entry.
     pub fn executor(&self, seed: u64) -> Executor {
         let clock = Rc::clone(&self.clock) as Rc<dyn Clock>;
         let timer = Rc::new(ManualTimer(Rc::clone(&self.clock)));
-        let budget = BudgetOptions {
+        let limits = RateLimits {
             reads_per_s: 1e6,
             writes_per_s: 1e6,
-            ..BudgetOptions::default()
+            ..RateLimits::default()
         };
-        let context = GuardContext {
+        let context = RetryContext {
             clock: Rc::clone(&clock),
             timer: timer.clone(),
-            budget: Rc::new(RateBudget::new(&budget, clock.now())),
+            rate_limit: Rc::new(RateLimiter::new(&limits, clock.now())),
         };
         let inner = Rc::new(YieldingTable(Rc::clone(&self.table)));
-        let guarded = Guarded::new(inner, RetryOptions::default(), context, seed);
-        Executor::new(Rc::new(guarded), clock, timer, seed)
+        let retrying_table = RetryingTable::new(inner, RetryOptions::default(), context, seed);
+        Executor::new(Rc::new(retrying_table), clock, timer, seed)
     }
 
     /// Executes one command with nothing running concurrently.
@@ -260,7 +260,7 @@
         honours_fencing: true,
         state: TargetState::Active,
         role: Role::Mixed,
-        loaded: Loaded::default(),
+        loaded: LoadedModel::default(),
         applied: 0,
     }
 }
@@ -271,7 +271,7 @@
         incarnation,
         number,
         role: Role::Mixed,
-        loaded: Loaded::default(),
+        loaded: LoadedModel::default(),
     }
 }
 
--- a/components/control/tests/lease.rs
+++ b/components/control/tests/lease.rs
@@ -267,12 +267,12 @@
 fn after_steps(steps: Vec<(u8, u8)>, faults: &[Fault]) -> Fleet {
     let mut fleet = Fleet::new();
     let faults = faults.iter().take(150).map(|fault| fault.0);
-    fleet.fixture.table.script(faults);
+    fleet.fixture.table.add_faults(faults);
     for step in steps {
         fleet.step(step);
     }
-    fleet.fixture.table.clear_script();
-    fleet.fixture.table.flush_late();
+    fleet.fixture.table.clear_faults();
+    fleet.fixture.table.apply_late_requests();
     fleet
 }
 
@@ -384,7 +384,7 @@
     for _ in 0..3 {
         drive(&mut fleet, 1);
     }
-    fleet.fixture.table.script([CallFault::LostRequest]);
+    fleet.fixture.table.add_faults([CallFault::LostRequest]);
     for _ in 0..3 {
         drive(&mut fleet, 1);
     }
--- a/components/control/tests/targets.rs
+++ b/components/control/tests/targets.rs
@@ -141,7 +141,7 @@
     let fixture = Fixture::with_targets(0);
     let table = Rc::clone(&fixture.table);
     // The first two requests are reads, the third one is the commit.
-    table.script([
+    table.add_faults([
         store::CallFault::None,
         store::CallFault::None,
         store::CallFault::LostReply,
--- a/components/entry/src/core/keepalive.rs
+++ b/components/entry/src/core/keepalive.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use wire::Liveness;
-use wire::liveness::Pulse;
+use wire::liveness::HeartbeatAction;
 
 use crate::core::links::LinkTimings;
 
@@ -31,14 +31,14 @@
         }
     }
 
-    pub fn tick(&mut self, now: Instant, times: &LinkTimings) -> Pulse {
+    pub fn tick(&mut self, now: Instant, times: &LinkTimings) -> HeartbeatAction {
         if self.is_monitored {
-            return self.liveness.tick(now);
+            return self.liveness.due_action(now);
         }
         if now.saturating_duration_since(self.last_heard_at) < times.idle_ms {
-            return Pulse::Fine;
+            return HeartbeatAction::NoAction;
         }
         self.start_monitoring(now, times);
-        Pulse::Ping
+        HeartbeatAction::SendPing
     }
 }
--- a/components/entry/src/core/links.rs
+++ b/components/entry/src/core/links.rs
@@ -16,7 +16,7 @@
 use types::Incarnation;
 use types::TargetName;
 use wire::ToAgent;
-use wire::liveness::Pulse;
+use wire::liveness::HeartbeatAction;
 
 use crate::core::keepalive::Keepalive;
 
@@ -245,7 +245,7 @@
             return None;
         };
         keepalive.last_heard_at = now;
-        keepalive.liveness.heard(now);
+        keepalive.liveness.record_received(now);
         Some((name.clone(), connection.incarnation?))
     }
 
@@ -318,15 +318,15 @@
                     failed.push(*link);
                 }
                 State::Up { link, keepalive } => match keepalive.tick(now, &self.times) {
-                    Pulse::Fine => {}
-                    Pulse::Ping => {
+                    HeartbeatAction::NoAction => {}
+                    HeartbeatAction::SendPing => {
                         self.nonce += 1;
                         actions.push(LinkAction::Send {
                             link: *link,
                             message: ToAgent::Ping { nonce: self.nonce },
                         });
                     }
-                    Pulse::Silent => failed.push(*link),
+                    HeartbeatAction::TimedOut => failed.push(*link),
                 },
                 State::Waiting { .. } | State::Opening { .. } => {}
             }
--- a/components/entry/src/core/report.rs
+++ b/components/entry/src/core/report.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use serde_json::json;
 use types::LoadReport;
-use types::Loaded;
+use types::LoadedModel;
 use types::RequestId;
 use wire::ToEntry;
 
@@ -120,7 +120,7 @@
         let requirements = Requirements {
             service: service.to_owned(),
             kind: service_config.kind,
-            needs: Loaded::default(),
+            needs: LoadedModel::default(),
             priority: service_config.profile.priority,
             prompt_tokens: EXAMPLE_PROMPT_TOKENS,
             max_output_tokens: EXAMPLE_OUTPUT_TOKENS,
--- a/components/entry/src/daemon/mod.rs
+++ b/components/entry/src/daemon/mod.rs
@@ -29,13 +29,13 @@
 use slog::Logger;
 use smol::LocalExecutor;
 use smol::Task;
-use store::BudgetOptions;
-use store::GuardContext;
-use store::Guarded;
 use store::HostList;
 use store::ObjectStore;
-use store::RateBudget;
+use store::RateLimiter;
+use store::RateLimits;
+use store::RetryContext;
 use store::RetryOptions;
+use store::RetryingTable;
 use store::StoreError;
 use store::SystemTimer;
 use store::Table;
@@ -176,17 +176,17 @@
         let keys = startup::keyring(&settings.keys).ok_or_else(|| {
             eyre::eyre!("`keys` in the settings is empty; add one with 64 hex digits")
         })?;
-        let context = GuardContext {
+        let context = RetryContext {
             clock: clock.clone(),
             timer: Rc::new(SystemTimer),
-            budget: Rc::new(RateBudget::new(&BudgetOptions::default(), now)),
+            rate_limit: Rc::new(RateLimiter::new(&RateLimits::default(), now)),
         };
         let http_table = HttpTable::new(settings.platform.table, HttpOptions::default());
         let retries = RetryOptions {
-            give_up_ms: TABLE_CALL_TIMEOUT_MS,
+            timeout_ms: TABLE_CALL_TIMEOUT_MS,
             ..RetryOptions::default()
         };
-        let table: Rc<dyn Table> = Rc::new(Guarded::new(
+        let table: Rc<dyn Table> = Rc::new(RetryingTable::new(
             Rc::new(http_table),
             retries,
             context,
--- a/components/entry/tests/common/mod.rs
+++ b/components/entry/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use entry::core::links::LinkTimings;
 use types::Incarnation;
 use types::LoadReport;
-use types::Loaded;
+use types::LoadedModel;
 use types::Method;
 use types::Role;
 use types::ServiceKind;
@@ -46,7 +46,7 @@
         received: 0,
         cache_used_permille: 0,
         role: Role::Mixed,
-        loaded: Loaded::default(),
+        loaded: LoadedModel::default(),
         applied: 0,
         leaving: false,
         away: false,
@@ -66,7 +66,7 @@
         honours_fencing: true,
         state: TargetState::Active,
         role: Role::Mixed,
-        loaded: Loaded::default(),
+        loaded: LoadedModel::default(),
         applied: 0,
     }
 }
--- a/components/entry/tests/share.rs
+++ b/components/entry/tests/share.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use entry::core::share::Shares;
-use types::Loaded;
+use types::LoadedModel;
 use types::Role;
 use types::ServiceKind;
 use types::Target;
@@ -31,7 +31,7 @@
         honours_fencing: true,
         state,
         role: Role::Mixed,
-        loaded: Loaded::default(),
+        loaded: LoadedModel::default(),
         applied: 0,
     }
 }
--- a/components/fakes/src/target.rs
+++ b/components/fakes/src/target.rs
@@ -21,7 +21,7 @@
 use rand::rngs::StdRng;
 use types::AttemptId;
 use types::Incarnation;
-use types::Loaded;
+use types::LoadedModel;
 use types::Order;
 use types::OrderKind;
 use types::RequestId;
@@ -180,7 +180,7 @@
 
     /// Whether what an attempt needs is loaded. Empty fields match any model or version.
     #[must_use]
-    pub fn holds(&self, needs: &Loaded) -> bool {
+    pub fn holds(&self, needs: &LoadedModel) -> bool {
         let loaded = &self.state.loaded;
         (needs.model.is_empty() || needs.model == loaded.model)
             && (needs.version.is_empty() || needs.version == loaded.version)
--- a/components/request/src/router.rs
+++ b/components/request/src/router.rs
@@ -5,7 +5,7 @@
 
 use types::AttemptId;
 use types::Incarnation;
-use types::Loaded;
+use types::LoadedModel;
 use types::ServiceKind;
 use types::ServiceName;
 use types::TargetName;
@@ -19,7 +19,7 @@
     /// Whether the service is backed by engines or is a plain one.
     pub kind: ServiceKind,
     /// Required model, version and adapters; empty fields require nothing.
-    pub needs: Loaded,
+    pub needs: LoadedModel,
     /// Priority from 0, served first, to 9.
     pub priority: u8,
     /// Estimated length of the prompt.
--- a/components/request/src/run.rs
+++ b/components/request/src/run.rs
@@ -7,7 +7,7 @@
 use store::RowVersion;
 use types::AttemptId;
 use types::Incarnation;
-use types::Loaded;
+use types::LoadedModel;
 use types::RequestId;
 use types::RunState;
 use types::ServiceKind;
@@ -172,16 +172,16 @@
     }
 }
 
-fn required_models(submission: &Submission, service_config: &ServiceConfig) -> Loaded {
+fn required_models(submission: &Submission, service_config: &ServiceConfig) -> LoadedModel {
     let profile = &service_config.profile;
     if service_config.kind == ServiceKind::Plain {
-        return Loaded::default();
+        return LoadedModel::default();
     }
     let named = &submission.work.model;
     if !named.is_empty() && *named != profile.model {
-        return Loaded {
+        return LoadedModel {
             model: named.clone(),
-            ..Loaded::default()
+            ..LoadedModel::default()
         };
     }
     let adapters = if profile.adapter.is_empty() {
@@ -189,7 +189,7 @@
     } else {
         vec![profile.adapter.clone()]
     };
-    Loaded {
+    LoadedModel {
         model: profile.model.clone(),
         version: profile.version.clone(),
         adapters,
--- a/components/request/tests/support/mod.rs
+++ b/components/request/tests/support/mod.rs
@@ -20,7 +20,7 @@
 use types::AttemptId;
 use types::Incarnation;
 use types::LoadReport;
-use types::Loaded;
+use types::LoadedModel;
 use types::Method;
 use types::Profile;
 use types::RequestId;
@@ -98,7 +98,7 @@
         received: 0,
         cache_used_permille: 0,
         role: Role::Mixed,
-        loaded: Loaded::default(),
+        loaded: LoadedModel::default(),
         applied: 0,
         leaving: false,
         away: false,
--- a/components/routing/src/member.rs
+++ b/components/routing/src/member.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use types::Incarnation;
-use types::Loaded;
+use types::LoadedModel;
 use types::Target;
 
 use crate::cache::Holder;
@@ -119,7 +119,7 @@
     }
 
     /// Whether the target has loaded what a request needs; empty fields match anything.
-    pub fn is_compatible_with(&self, needs: &Loaded) -> bool {
+    pub fn is_compatible_with(&self, needs: &LoadedModel) -> bool {
         let loaded = &self.target.loaded;
         let is_match = |need: &str, have: &str| need.is_empty() || need == have;
         is_match(&needs.model, &loaded.model)
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use routing::Standing;
 use types::AttemptId;
 use types::LoadReport;
-use types::Loaded;
+use types::LoadedModel;
 use types::Role;
 use types::ServiceKind;
 use types::Target;
@@ -108,7 +108,7 @@
         honours_fencing: true,
         state: TargetState::Active,
         role: Role::Mixed,
-        loaded: Loaded {
+        loaded: LoadedModel {
             model: "base".into(),
             version: "1".into(),
             adapters: Vec::new(),
@@ -140,7 +140,7 @@
     Requirements {
         service: "drafts".into(),
         kind: ServiceKind::Model,
-        needs: Loaded::default(),
+        needs: LoadedModel::default(),
         priority: 4,
         prompt_tokens,
         max_output_tokens: 200,
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -23,7 +23,7 @@
 pub use entry::Intervals;
 pub use entry::Limits;
 pub use entry::Share;
-pub use load::Loaded;
+pub use load::DaemonSettings;
 pub use load::SettingsError;
 pub use load::load;
 pub use load::load_agent;
--- a/components/settings/src/load.rs
+++ b/components/settings/src/load.rs
@@ -49,7 +49,7 @@
 
 /// Settings of one of the daemons.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Loaded {
+pub enum DaemonSettings {
     /// Settings of an entry.
     Entry(Box<EntrySettings>),
     /// Settings of an agent.
@@ -61,7 +61,7 @@
 /// # Errors
 ///
 /// Returns the first error in the file.
-pub fn load(path: &Path) -> Result<Loaded, SettingsError> {
+pub fn load(path: &Path) -> Result<DaemonSettings, SettingsError> {
     parse(&path.display().to_string(), &read(path)?)
 }
 
@@ -116,12 +116,12 @@
 /// # Errors
 ///
 /// Returns the first error in the text.
-pub fn parse(file: &str, text: &str) -> Result<Loaded, SettingsError> {
+pub fn parse(file: &str, text: &str) -> Result<DaemonSettings, SettingsError> {
     match parse_daemon(file, text)? {
         Daemon::Entry => parse_as(file, text, EntrySettings::validate)
-            .map(|settings| Loaded::Entry(Box::new(settings))),
+            .map(|settings| DaemonSettings::Entry(Box::new(settings))),
         Daemon::Agent => parse_as(file, text, AgentSettings::validate)
-            .map(|settings| Loaded::Agent(Box::new(settings))),
+            .map(|settings| DaemonSettings::Agent(Box::new(settings))),
     }
 }
 
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use seeded::quickcheck;
-use settings::Loaded;
+use settings::DaemonSettings;
 use settings::SettingsError;
 use settings::load_agent;
 use settings::load_entry;
@@ -163,13 +163,13 @@
 // Guards against a reload that accepts a new address while the listener stays on the old one.
 #[test]
 fn reload_of_an_entry_accepts_keys_and_limits_but_no_addresses() {
-    let Loaded::Entry(old) = parse("f", ENTRY).unwrap() else {
+    let DaemonSettings::Entry(old) = parse("f", ENTRY).unwrap() else {
         panic!("not an entry");
     };
     let new = ENTRY
         .replace("\"id\": 1", "\"id\": 3")
         .replace("\"requests\": 2048", "\"requests\": 100");
-    let Loaded::Entry(new) = parse("f", &new).unwrap() else {
+    let DaemonSettings::Entry(new) = parse("f", &new).unwrap() else {
         panic!("not an entry");
     };
     let reloaded = old.reload(&new).unwrap();
@@ -184,7 +184,7 @@
 // which daemons that have not been reloaded yet are refused.
 #[test]
 fn reload_of_an_agent_rejects_fields_that_need_a_restart_and_invalid_rotation_steps() {
-    let Loaded::Agent(old) = parse("f", AGENT).unwrap() else {
+    let DaemonSettings::Agent(old) = parse("f", AGENT).unwrap() else {
         panic!("not an agent");
     };
     let rejected_field = |change: fn(&mut settings::AgentSettings)| {
--- a/components/standin/src/engine/state.rs
+++ b/components/standin/src/engine/state.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 use types::FencingNumber;
-use types::Loaded;
+use types::LoadedModel;
 use types::OrderKind;
 use types::OrderNumber;
 use types::Role;
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateResponse {
     /// Loaded model and adapters.
-    pub loaded: Loaded,
+    pub loaded: LoadedModel,
     /// Current role.
     pub role: Role,
     /// Whether an order is in progress, so that requests are rejected.
@@ -202,7 +202,7 @@
         let loaded = &mut self.state.loaded;
         match body.order {
             OrderKind::LoadModel { model, version } => {
-                *loaded = Loaded {
+                *loaded = LoadedModel {
                     model,
                     version,
                     adapters: Vec::new(),
@@ -261,7 +261,7 @@
 
 fn initial_state(options: &EngineOptions) -> StateResponse {
     StateResponse {
-        loaded: Loaded {
+        loaded: LoadedModel {
             model: options.model.clone(),
             version: options.version.clone(),
             adapters: Vec::new(),
--- a/components/standin/tests/platform.rs
+++ b/components/standin/tests/platform.rs
@@ -14,11 +14,8 @@
 use smol::net::TcpListener;
 use standin::platform::Counters;
 use standin::platform::PlatformOptions;
-use store::BudgetOptions;
 use store::Check;
 use store::CommitOutcome;
-use store::GuardContext;
-use store::Guarded;
 use store::HostEntry;
 use store::HostList;
 use store::HostState;
@@ -29,8 +26,11 @@
 use store::HttpWeightStore;
 use store::ObjectStore;
 use store::Put;
-use store::RateBudget;
+use store::RateLimiter;
+use store::RateLimits;
+use store::RetryContext;
 use store::RetryOptions;
+use store::RetryingTable;
 use store::StoreError;
 use store::SystemTimer;
 use store::Table;
@@ -144,16 +144,16 @@
 
 /// Guards against a repeated commit, or a false failure, after the reply to a commit is lost.
 #[test]
-fn guarded_table_resolves_lost_reply_over_http() {
+fn retrying_table_resolves_lost_reply_over_http() {
     with_platform(|address| async move {
-        let budget = RateBudget::new(&BudgetOptions::default(), Instant::now());
-        let table = Guarded::new(
+        let rate_limit = RateLimiter::new(&RateLimits::default(), Instant::now());
+        let table = RetryingTable::new(
             Rc::new(HttpTable::new(address, options())),
             RetryOptions::default(),
-            GuardContext {
+            RetryContext {
                 clock: Rc::new(SystemClock),
                 timer: Rc::new(SystemTimer),
-                budget: Rc::new(budget),
+                rate_limit: Rc::new(rate_limit),
             },
             7,
         );
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -2,33 +2,28 @@
 //!
 //! State that must be durable or agreed between processes is stored in the table with conditional
 //! transactions. Each service has a trait with an HTTP client and an in-memory implementation.
-//! [`Guarded`] wraps any table to limit the rate of calls, retry them, and determine the outcome of
-//! commits whose reply was lost.
+//! [`RetryingTable`] wraps any table to limit the rate of calls, retry them, and determine the
+//! outcome of commits whose reply was lost.
 
-pub mod budget;
 pub mod client;
 pub mod error;
-pub mod guarded;
 pub mod hosts;
 pub mod memory;
 pub mod memory_services;
 pub mod objects;
+pub mod rate_limit;
+pub mod retrying;
 pub mod rows;
 pub mod table;
 pub mod timer;
 pub mod weights;
 
-pub use budget::BudgetOptions;
-pub use budget::RateBudget;
 pub use client::HttpHostList;
 pub use client::HttpObjectStore;
 pub use client::HttpOptions;
 pub use client::HttpTable;
 pub use client::HttpWeightStore;
 pub use error::StoreError;
-pub use guarded::GuardContext;
-pub use guarded::Guarded;
-pub use guarded::RetryOptions;
 pub use hosts::HostEntry;
 pub use hosts::HostList;
 pub use hosts::HostState;
@@ -40,6 +35,11 @@
 pub use objects::ObjectReply;
 pub use objects::ObjectRequest;
 pub use objects::ObjectStore;
+pub use rate_limit::RateLimiter;
+pub use rate_limit::RateLimits;
+pub use retrying::RetryContext;
+pub use retrying::RetryOptions;
+pub use retrying::RetryingTable;
 pub use rows::Rows;
 pub use rows::TableCounters;
 pub use table::Check;
--- a/components/store/src/memory.rs
+++ b/components/store/src/memory.rs
@@ -72,21 +72,21 @@
 
     /// Adds [`CallFault::LostReply`] for `count` calls.
     pub fn lose_replies(&self, count: usize) {
-        self.script(std::iter::repeat_n(CallFault::LostReply, count));
+        self.add_faults(std::iter::repeat_n(CallFault::LostReply, count));
     }
 
     /// Adds faults for the next calls, one per call. Calls after the last fault succeed.
-    pub fn script(&self, faults: impl IntoIterator<Item = CallFault>) {
+    pub fn add_faults(&self, faults: impl IntoIterator<Item = CallFault>) {
         self.scripted_faults.borrow_mut().extend(faults);
     }
 
     /// Removes faults that were added and not yet injected.
-    pub fn clear_script(&self) {
+    pub fn clear_faults(&self) {
         self.scripted_faults.borrow_mut().clear();
     }
 
     /// Applies all calls that are still to take effect late.
-    pub fn flush_late(&self) {
+    pub fn apply_late_requests(&self) {
         let late_requests = std::mem::take(&mut *self.late_requests.borrow_mut());
         for (_, request) in late_requests {
             self.rows.borrow_mut().apply(&request);
--- a/components/store/src/budget.rs
+++ b/components/store/src/rate_limit.rs
@@ -9,7 +9,7 @@
 /// Limits for one process. The table handles several hundred writes and about 2,000 reads per
 /// second from all processes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetOptions {
+pub struct RateLimits {
     /// Reads and scans per second.
     pub reads_per_s: f64,
     /// Transactions per second.
@@ -20,7 +20,7 @@
     pub max_wait_ms: Duration,
 }
 
-impl Default for BudgetOptions {
+impl Default for RateLimits {
     fn default() -> Self {
         Self {
             reads_per_s: 100.0,
@@ -33,16 +33,16 @@
 
 /// Token buckets for reads and writes.
 #[derive(Debug)]
-pub struct RateBudget {
+pub struct RateLimiter {
     reads: TokenBucket,
     writes: TokenBucket,
     max_wait_ms: Duration,
 }
 
-impl RateBudget {
+impl RateLimiter {
     /// Creates a rate limit with full buckets.
     #[must_use]
-    pub fn new(options: &BudgetOptions, now: Instant) -> Self {
+    pub fn new(options: &RateLimits, now: Instant) -> Self {
         Self {
             reads: TokenBucket::new(options.reads_per_s, options.burst_s, now),
             writes: TokenBucket::new(options.writes_per_s, options.burst_s, now),
--- a/components/store/src/guarded.rs
+++ b/components/store/src/retrying.rs
@@ -13,7 +13,7 @@
 
 use crate::StoreError;
 use crate::StoreFuture;
-use crate::budget::RateBudget;
+use crate::rate_limit::RateLimiter;
 use crate::table::CommitOutcome;
 use crate::table::Put;
 use crate::table::Row;
@@ -32,7 +32,7 @@
     /// Limit of the bound, which doubles with every retry.
     pub max_backoff_ms: Duration,
     /// Time after the start of a call at which retries end.
-    pub give_up_ms: Duration,
+    pub timeout_ms: Duration,
 }
 
 impl Default for RetryOptions {
@@ -40,20 +40,20 @@
         Self {
             initial_backoff_ms: Duration::from_millis(50),
             max_backoff_ms: Duration::from_secs(2),
-            give_up_ms: Duration::from_secs(10),
+            timeout_ms: Duration::from_secs(10),
         }
     }
 }
 
-/// Clock, timer and rate limit of a guarded table.
+/// Clock, timer and rate limit of a retrying table.
 #[derive(Clone)]
-pub struct GuardContext {
+pub struct RetryContext {
     /// Clock for the timeout and the rate limit.
     pub clock: Rc<dyn Clock>,
     /// Timer for backoff delays and waits for the rate limit.
     pub timer: Rc<dyn Timer>,
-    /// Rate limit, shared by all guarded tables of the process.
-    pub budget: Rc<RateBudget>,
+    /// Rate limit, shared by all retrying tables of the process.
+    pub rate_limit: Rc<RateLimiter>,
 }
 
 /// Table that retries calls, limits their rate, and determines the outcome of commits whose reply
@@ -62,20 +62,20 @@
 /// `Committed` and `Conflict` are definite outcomes of a commit. `Unavailable` and `RateLimited`
 /// mean that no attempt reached the table. `Unanswered` means that the outcome was still unknown
 /// when retries ended: the write may have taken effect, or may still take effect later.
-pub struct Guarded {
+pub struct RetryingTable {
     inner: Rc<dyn Table>,
     options: RetryOptions,
-    context: GuardContext,
+    context: RetryContext,
     random: RefCell<StdRng>,
 }
 
-impl Guarded {
+impl RetryingTable {
     /// Wraps a table; `seed` initialises the random jitter.
     #[must_use]
     pub fn new(
         inner: Rc<dyn Table>,
         options: RetryOptions,
-        context: GuardContext,
+        context: RetryContext,
         seed: u64,
     ) -> Self {
         Self {
@@ -158,7 +158,7 @@
         let now = self.context.clock.now();
         let wait = self
             .context
-            .budget
+            .rate_limit
             .take(now, &request)
             .ok_or(StoreError::RateLimited)?;
         if !wait.is_zero() {
@@ -169,13 +169,13 @@
 
     fn start_retries(&self) -> Retries {
         Retries {
-            deadline: self.context.clock.now() + self.options.give_up_ms,
+            deadline: self.context.clock.now() + self.options.timeout_ms,
             backoff_ms: self.options.initial_backoff_ms,
         }
     }
 }
 
-impl Table for Guarded {
+impl Table for RetryingTable {
     fn call(&self, request: TableRequest) -> StoreFuture<'_, TableReply> {
         match request {
             TableRequest::Commit(transaction) => Box::pin(self.commit(transaction)),
@@ -192,7 +192,7 @@
 
 impl Retries {
     /// Waits before the next attempt, or returns `error` if that would exceed the deadline.
-    async fn wait(&mut self, guard: &Guarded, error: StoreError) -> Result<(), StoreError> {
+    async fn wait(&mut self, guard: &RetryingTable, error: StoreError) -> Result<(), StoreError> {
         let fraction = guard.random.borrow_mut().random_range(0.5..=1.0);
         let delay = self.backoff_ms.mul_f64(fraction);
         if guard.context.clock.now() + delay >= self.deadline {
--- a/components/store/tests/guarded.rs
+++ b/components/store/tests/retrying.rs
@@ -1,4 +1,4 @@
-//! Guarded table under outages, lost calls, lost replies and calls that take effect late.
+//! Retrying table under outages, lost calls, lost replies and calls that take effect late.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -10,17 +10,17 @@
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 use seeded::quickcheck;
-use store::BudgetOptions;
 use store::CallFault;
 use store::Check;
 use store::CommitOutcome;
-use store::GuardContext;
-use store::Guarded;
 use store::ManualTimer;
 use store::MemoryTable;
 use store::Put;
-use store::RateBudget;
+use store::RateLimiter;
+use store::RateLimits;
+use store::RetryContext;
 use store::RetryOptions;
+use store::RetryingTable;
 use store::StoreError;
 use store::Table;
 use store::TableReply;
@@ -95,10 +95,10 @@
 struct Fixture {
     clock: Rc<ManualClock>,
     table: Rc<MemoryTable>,
-    guarded: Guarded,
+    retrying_table: RetryingTable,
 }
 
-fn fixture(concurrent_writes: Vec<bool>, budget: &BudgetOptions) -> Fixture {
+fn fixture(concurrent_writes: Vec<bool>, limits: &RateLimits) -> Fixture {
     let clock = Rc::new(ManualClock::new());
     let table = Rc::new(MemoryTable::new());
     let timer = ConcurrentWriteTimer {
@@ -107,16 +107,16 @@
         writes: RefCell::new(concurrent_writes),
         write_count: Cell::new(0),
     };
-    let context = GuardContext {
+    let context = RetryContext {
         clock: Rc::clone(&clock) as Rc<dyn Clock>,
         timer: Rc::new(timer),
-        budget: Rc::new(RateBudget::new(budget, clock.now())),
+        rate_limit: Rc::new(RateLimiter::new(limits, clock.now())),
     };
     let inner = Rc::clone(&table) as Rc<dyn Table>;
     Fixture {
         clock,
         table,
-        guarded: Guarded::new(inner, RetryOptions::default(), context, 3),
+        retrying_table: RetryingTable::new(inner, RetryOptions::default(), context, 3),
     }
 }
 
@@ -127,16 +127,16 @@
         calls: Vec<Vec<ArbitraryFault>>,
         writes: Vec<bool>
     ) -> bool {
-        let fixture = fixture(writes, &BudgetOptions::default());
+        let fixture = fixture(writes, &RateLimits::default());
         let mut outcomes = Vec::new();
         for (number, faults) in calls.iter().enumerate() {
             let proof = format!("proof/{number}");
             let request = TableRequest::Commit(increment(&fixture.table, &proof));
-            fixture.table.clear_script();
-            fixture.table.script(faults.iter().map(|fault| fault.0));
-            outcomes.push((proof, smol::block_on(fixture.guarded.call(request))));
+            fixture.table.clear_faults();
+            fixture.table.add_faults(faults.iter().map(|fault| fault.0));
+            outcomes.push((proof, smol::block_on(fixture.retrying_table.call(request))));
         }
-        fixture.table.flush_late();
+        fixture.table.apply_late_requests();
         let outcomes_are_correct = outcomes.iter().all(|(proof, outcome)| {
             let is_committed = fixture.table.row(proof).is_some();
             match outcome {
@@ -164,18 +164,18 @@
 
     /// Guards against a process that exceeds its rate limit over any number of calls.
     fn calls_stay_within_the_rate_limit(gaps_ms: Vec<u8>, window: u8) -> bool {
-        let budget = BudgetOptions {
+        let limits = RateLimits {
             writes_per_s: 10.0,
             burst_s: 0.5,
             max_wait_ms: Duration::from_millis(400),
-            ..BudgetOptions::default()
+            ..RateLimits::default()
         };
-        let fixture = fixture(Vec::new(), &budget);
+        let fixture = fixture(Vec::new(), &limits);
         let mut at_ms = Vec::new();
         for gap in gaps_ms {
             fixture.clock.advance(Duration::from_millis(gap.into()));
             let transaction = increment(&fixture.table, "proof/x");
-            let result = smol::block_on(fixture.guarded.call(TableRequest::Commit(transaction)));
+            let result = smol::block_on(fixture.retrying_table.call(TableRequest::Commit(transaction)));
             if result.is_ok() {
                 at_ms.push(fixture.clock.elapsed().as_millis());
             }
@@ -191,10 +191,14 @@
 /// Guards against calls that are retried without limit, or that stop being retried too early.
 #[test]
 fn stops_retrying_after_the_timeout_in_an_outage() {
-    let fixture = fixture(Vec::new(), &BudgetOptions::default());
+    let fixture = fixture(Vec::new(), &RateLimits::default());
     fixture.table.set_outage(true);
     let transaction = increment(&fixture.table, "proof/1");
-    let result = smol::block_on(fixture.guarded.call(TableRequest::Commit(transaction)));
+    let result = smol::block_on(
+        fixture
+            .retrying_table
+            .call(TableRequest::Commit(transaction)),
+    );
     assert!(matches!(result, Err(StoreError::Unavailable(_))));
     let elapsed = fixture.clock.elapsed();
     assert!(elapsed > Duration::from_secs(7) && elapsed <= Duration::from_secs(10));
@@ -204,11 +208,15 @@
 /// so that it might be applied twice.
 #[test]
 fn does_not_retry_a_commit_without_proof_after_a_lost_reply() {
-    let fixture = fixture(Vec::new(), &BudgetOptions::default());
+    let fixture = fixture(Vec::new(), &RateLimits::default());
     let mut transaction = increment(&fixture.table, "proof/1");
     transaction.proof = String::new();
     fixture.table.lose_replies(1);
-    let result = smol::block_on(fixture.guarded.call(TableRequest::Commit(transaction)));
+    let result = smol::block_on(
+        fixture
+            .retrying_table
+            .call(TableRequest::Commit(transaction)),
+    );
     assert!(matches!(result, Err(StoreError::Unanswered(_))));
     assert_eq!(fixture.table.counters().writes, 1);
 }
--- a/components/types/src/lib.rs
+++ b/components/types/src/lib.rs
@@ -52,7 +52,7 @@
 pub use reply::Usage;
 pub use service::Service;
 pub use service::ServiceKind;
-pub use target::Loaded;
+pub use target::LoadedModel;
 pub use target::Role;
 pub use target::Target;
 pub use target::TargetState;
--- a/components/types/src/load.rs
+++ b/components/types/src/load.rs
@@ -5,7 +5,7 @@
 
 use crate::ids::Incarnation;
 use crate::ids::OrderNumber;
-use crate::target::Loaded;
+use crate::target::LoadedModel;
 use crate::target::Role;
 
 /// Load of a target when the report was sent.
@@ -33,7 +33,7 @@
     /// Current role.
     pub role: Role,
     /// Model version and adapters currently loaded.
-    pub loaded: Loaded,
+    pub loaded: LoadedModel,
     /// Number of the last order that was executed.
     pub applied: OrderNumber,
     /// Whether the target is draining and accepts no new requests.
--- a/components/types/src/order.rs
+++ b/components/types/src/order.rs
@@ -48,14 +48,14 @@
 impl OrderKind {
     /// Whether the target accepts no new requests after this order.
     #[must_use]
-    pub fn ends_service(&self) -> bool {
+    pub fn stops_new_work(&self) -> bool {
         matches!(self, Self::Drain | Self::Replace | Self::Withdraw)
     }
 
     /// Whether the order must be sent to the engine.
     #[must_use]
-    pub fn concerns_engine(&self) -> bool {
-        !self.ends_service() && *self != Self::Resume
+    pub fn is_sent_to_engine(&self) -> bool {
+        !self.stops_new_work() && *self != Self::Resume
     }
 }
 
--- a/components/types/src/target.rs
+++ b/components/types/src/target.rs
@@ -30,7 +30,7 @@
 
 /// Model version and adapters that an engine has loaded, or that a request requires.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Loaded {
+pub struct LoadedModel {
     /// Model; empty for plain services, or if no particular model is required.
     pub model: String,
     /// Version of the model's weights.
@@ -87,7 +87,7 @@
     /// Current role.
     pub role: Role,
     /// Model version and adapters currently loaded.
-    pub loaded: Loaded,
+    pub loaded: LoadedModel,
     /// Number of the last order that was executed.
     pub applied: OrderNumber,
 }
--- a/components/wire/src/liveness.rs
+++ b/components/wire/src/liveness.rs
@@ -9,13 +9,13 @@
 
 /// Action that the heartbeat state of a connection requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pulse {
+pub enum HeartbeatAction {
     /// No action.
-    Fine,
+    NoAction,
     /// Send a ping.
-    Ping,
+    SendPing,
     /// The connection timed out; replace it.
-    Silent,
+    TimedOut,
 }
 
 /// Heartbeat state of one connection.
@@ -41,24 +41,24 @@
     }
 
     /// Records that a frame was received.
-    pub fn heard(&mut self, now: Instant) {
+    pub fn record_received(&mut self, now: Instant) {
         self.last_received_at = now;
         self.last_ping_at = None;
     }
 
     /// Returns the action that is due; call this periodically.
-    pub fn tick(&mut self, now: Instant) -> Pulse {
+    pub fn due_action(&mut self, now: Instant) -> HeartbeatAction {
         let silence = now.saturating_duration_since(self.last_received_at);
         if silence >= self.timeout_ms {
-            return Pulse::Silent;
+            return HeartbeatAction::TimedOut;
         }
         let since_ping = self
             .last_ping_at
             .map_or(silence, |at| now.saturating_duration_since(at));
         if silence >= self.interval_ms && since_ping >= self.interval_ms {
             self.last_ping_at = Some(now);
-            return Pulse::Ping;
+            return HeartbeatAction::SendPing;
         }
-        Pulse::Fine
+        HeartbeatAction::NoAction
     }
 }
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -12,7 +12,7 @@
 use types::Headers;
 use types::Incarnation;
 use types::LoadReport;
-use types::Loaded;
+use types::LoadedModel;
 use types::OrderNumber;
 use types::Revision;
 use types::RunState;
@@ -43,7 +43,7 @@
     /// Configuration revision that the request is bound to.
     pub revision: Revision,
     /// Model, version and adapter that the request requires; empty fields require nothing.
-    pub needs: Loaded,
+    pub needs: LoadedModel,
     /// Time until the deadline when the message was sent.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub deadline_ms: Duration,
--- a/components/wire/tests/liveness.rs
+++ b/components/wire/tests/liveness.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use wire::Liveness;
-use wire::liveness::Pulse;
+use wire::liveness::HeartbeatAction;
 
 const INTERVAL: Duration = Duration::from_millis(500);
 const TIMEOUT: Duration = Duration::from_secs(2);
@@ -21,10 +21,10 @@
         for step in 0..=u8::MAX {
             let now = start + STEP * u32::from(step);
             if received_at_steps.contains(&step) {
-                liveness.heard(now);
+                liveness.record_received(now);
                 last_received_at = now;
             }
-            let is_silent = liveness.tick(now) == Pulse::Silent;
+            let is_silent = liveness.due_action(now) == HeartbeatAction::TimedOut;
             if is_silent != (now - last_received_at >= TIMEOUT) {
                 return false;
             }
@@ -40,7 +40,7 @@
     let start = Instant::now();
     let mut liveness = Liveness::new(start, INTERVAL, TIMEOUT);
     let pings = (0..19)
-        .filter(|step| liveness.tick(start + STEP * *step) == Pulse::Ping)
+        .filter(|step| liveness.due_action(start + STEP * *step) == HeartbeatAction::SendPing)
         .count();
     assert_eq!(pings, 3);
 }
--- a/examples/policy/simulation.rs
+++ b/examples/policy/simulation.rs
@@ -19,7 +19,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use types::AttemptId;
-use types::Loaded;
+use types::LoadedModel;
 use types::Role;
 use types::ServiceKind;
 use types::Target;
@@ -267,7 +267,7 @@
         honours_fencing: true,
         state: TargetState::Active,
         role,
-        loaded: Loaded::default(),
+        loaded: LoadedModel::default(),
         applied: 0,
     }
 }
--- a/examples/policy/simulation/calls.rs
+++ b/examples/policy/simulation/calls.rs
@@ -9,7 +9,7 @@
 use request::Choice;
 use request::Requirements;
 use types::AttemptId;
-use types::Loaded;
+use types::LoadedModel;
 use types::ServiceKind;
 use types::TargetName;
 
@@ -360,7 +360,7 @@
         Requirements {
             service: SERVICE.into(),
             kind: ServiceKind::Model,
-            needs: Loaded::default(),
+            needs: LoadedModel::default(),
             priority: class.priority,
             prompt_tokens: call.prompt_tokens,
             max_output_tokens: call.max_output_tokens,
--- a/examples/soak/agents.rs
+++ b/examples/soak/agents.rs
@@ -14,7 +14,7 @@
 use agent::Limits;
 use agent::OrderOutcome;
 use fakes::FakeTarget;
-use store::Guarded;
+use store::RetryingTable;
 use store::Table;
 use types::AttemptId;
 use types::Incarnation;
@@ -45,7 +45,7 @@
     pub is_stopping: bool,
     /// The process cannot reach the platform.
     pub is_disconnected: Rc<Cell<bool>>,
-    pub table: Option<Rc<Guarded>>,
+    pub table: Option<Rc<RetryingTable>>,
     pub target: FakeTarget,
     /// Orders in transit to the engine, from all runs of the agent.
     pub orders_in_flight: u32,
@@ -99,7 +99,7 @@
         self.rename_withdrawn_target(at);
         let incarnation = self.random_id();
         let is_disconnected: Rc<Cell<bool>> = Rc::default();
-        let table = self.guarded(is_disconnected.clone());
+        let table = self.retrying_table(is_disconnected.clone());
         let now = self.now();
         let host = &mut self.agents[at];
         let mut limits = Limits::new(host.name.clone(), incarnation, agent_address(at));
--- a/examples/soak/commits.rs
+++ b/examples/soak/commits.rs
@@ -165,7 +165,7 @@
                 order.number, order.target
             ));
         }
-        if order.kind.ends_service() {
+        if order.kind.stops_new_work() {
             self.leaving.entry(order.target.clone()).or_insert(now);
         } else if order.kind == OrderKind::Resume {
             self.leaving.remove(&order.target);
--- a/examples/soak/dispatches.rs
+++ b/examples/soak/dispatches.rs
@@ -5,7 +5,7 @@
 
 use types::AttemptId;
 use types::Incarnation;
-use types::Loaded;
+use types::LoadedModel;
 use wire::Dispatch;
 use wire::Rejection;
 
@@ -14,7 +14,7 @@
 /// Requirements of a dispatched attempt.
 pub struct DispatchedAttempt {
     incarnation: Incarnation,
-    needs: Loaded,
+    needs: LoadedModel,
 }
 
 impl Simulation {
--- a/examples/soak/entries.rs
+++ b/examples/soak/entries.rs
@@ -14,7 +14,7 @@
 use entry::core::EntryCore;
 use entry::core::Event;
 use entry::core::LogEvent;
-use store::Guarded;
+use store::RetryingTable;
 use store::StoreError;
 use store::Table;
 use types::Incarnation;
@@ -47,7 +47,7 @@
     pub is_stopping: bool,
     /// The process cannot reach the platform (table, object store and host list).
     pub is_disconnected: Rc<Cell<bool>>,
-    pub table: Option<Rc<Guarded>>,
+    pub table: Option<Rc<RetryingTable>>,
     pub executor: Option<Rc<Executor>>,
     /// Lease of the model service as last acquired by this run; kept after it is lost.
     pub held: Option<HeldLease>,
@@ -93,7 +93,7 @@
     pub fn start_entry(&mut self, at: usize) {
         let incarnation = self.random_id();
         let is_disconnected: Rc<Cell<bool>> = Rc::default();
-        let table = self.guarded(is_disconnected.clone());
+        let table = self.retrying_table(is_disconnected.clone());
         let executor = self.executor(table.clone());
         let now = self.now();
         let host = &mut self.entries[at];
--- a/examples/soak/main.rs
+++ b/examples/soak/main.rs
@@ -1,6 +1,6 @@
 //! Randomised long-running simulation of entries and agents in virtual time, with fault injection.
 //!
-//! `EntryCore`, `agent::Agent`, the guarded table and the command executor are production code.
+//! `EntryCore`, `agent::Agent`, the retrying table and the command executor are production code.
 //! The network, the table, the host list and the targets are fakes. The invariants of
 //! `docs/design.md` are checked at the targets, which record what they ran, at the table, which
 //! reports each committed transaction, and at the callers.
--- a/examples/soak/rollout.rs
+++ b/examples/soak/rollout.rs
@@ -5,7 +5,7 @@
 use control::Command;
 use control::Versioned;
 use control::keys;
-use types::Loaded;
+use types::LoadedModel;
 use types::Order;
 use types::OrderKind;
 use types::Target;
@@ -169,7 +169,7 @@
             return Some(version);
         }
         self.target_row(at).map(|target| {
-            let Loaded { version, .. } = target.loaded;
+            let LoadedModel { version, .. } = target.loaded;
             version
         })
     }
--- a/examples/soak/setup.rs
+++ b/examples/soak/setup.rs
@@ -15,14 +15,14 @@
 use fakes::FakeTarget;
 use fakes::TablePort;
 use fakes::VirtualTimer;
-use store::BudgetOptions;
-use store::GuardContext;
-use store::Guarded;
 use store::HostState;
-use store::RateBudget;
+use store::RateLimiter;
+use store::RateLimits;
+use store::RetryContext;
 use store::RetryOptions;
+use store::RetryingTable;
 use types::KeylessPolicy;
-use types::Loaded;
+use types::LoadedModel;
 use types::Profile;
 use types::Role;
 use types::Service;
@@ -140,7 +140,7 @@
     pub fn new_agent_host(&mut self, at: usize, generation: u64) -> AgentHost {
         let is_model = at < ENGINES;
         let (kind, base) = if is_model {
-            let loaded = Loaded {
+            let loaded = LoadedModel {
                 model: "m1".to_owned(),
                 version: "1".to_owned(),
                 adapters: Vec::new(),
@@ -164,30 +164,33 @@
     }
 
     /// Creates the table client of one process, with its own retry budget.
-    pub fn guarded(&mut self, is_disconnected: Rc<std::cell::Cell<bool>>) -> Rc<Guarded> {
+    pub fn retrying_table(
+        &mut self,
+        is_disconnected: Rc<std::cell::Cell<bool>>,
+    ) -> Rc<RetryingTable> {
         let seed = self.random_id();
         let now = self.now();
-        let context = GuardContext {
+        let context = RetryContext {
             clock: self.clock.clone(),
             timer: Rc::new(VirtualTimer(self.tasks.clone())),
-            budget: Rc::new(RateBudget::new(&BudgetOptions::default(), now)),
+            rate_limit: Rc::new(RateLimiter::new(&RateLimits::default(), now)),
         };
         let options = RetryOptions {
-            give_up_ms: Duration::from_secs(3),
+            timeout_ms: Duration::from_secs(3),
             ..RetryOptions::default()
         };
         let port = TablePort::new(self.table.clone(), is_disconnected);
-        Rc::new(Guarded::new(Rc::new(port), options, context, seed))
+        Rc::new(RetryingTable::new(Rc::new(port), options, context, seed))
     }
 
-    pub fn executor(&mut self, table: Rc<Guarded>) -> Rc<Executor> {
+    pub fn executor(&mut self, table: Rc<RetryingTable>) -> Rc<Executor> {
         let seed = self.random_id();
         let timer = Rc::new(VirtualTimer(self.tasks.clone()));
         Rc::new(Executor::new(table, self.clock.clone(), timer, seed))
     }
 
     fn configure(&mut self) {
-        let table = self.guarded(Rc::default());
+        let table = self.retrying_table(Rc::default());
         let executor = self.executor(table);
         let service = |name: &str, kind, profile: &str| Command::SetService {
             service: Service {
--- a/src/cmd/daemon.rs
+++ b/src/cmd/daemon.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use settings::Loaded;
+use settings::DaemonSettings;
 use settings::SettingsError;
 
 use crate::cmd::CommandResult;
@@ -37,8 +37,8 @@
         return check_gateway_settings(file);
     }
     let summary = match settings::load(file)? {
-        Loaded::Entry(entry) => format!("entry `{}`", entry.name),
-        Loaded::Agent(agent) => format!("agent of target `{}`", agent.target.name),
+        DaemonSettings::Entry(entry) => format!("entry `{}`", entry.name),
+        DaemonSettings::Agent(agent) => format!("agent of target `{}`", agent.target.name),
     };
     println!("{}: valid settings of {summary}", file.display());
     Ok(())
