--- a/components/testbed/src/gateways.rs
+++ b/components/testbed/src/gateways.rs
@@ -66,7 +66,7 @@
     /// Address of the readiness check of the load balancer.
     pub ready: SocketAddr,
     /// Settings file.
-    pub boot: PathBuf,
+    pub settings_file: PathBuf,
     /// Control address of the forwarder to the store.
     pub store_link: SocketAddr,
 }
@@ -321,19 +321,19 @@
             })
             .detach();
         let name = format!("gateway-{number}");
-        let boot = self.directory.join(format!("{name}.toml"));
-        fs::write(&boot, settings(&name, &ip, link.listen))
-            .wrap_err_with(|| format!("cannot write {}", boot.display()))?;
+        let settings_file = self.directory.join(format!("{name}.toml"));
+        fs::write(&settings_file, settings(&name, &ip, link.listen))
+            .wrap_err_with(|| format!("cannot write {}", settings_file.display()))?;
         let mut command_line: Vec<String> = arguments
             .iter()
             .map(|&argument| argument.to_owned())
             .collect();
-        command_line.push(boot.display().to_string());
+        command_line.push(settings_file.display().to_string());
         let gateway = Gateway {
             process: Process::start(&name, program, &command_line, &self.directory)?,
             callers: format!("{ip}:8149").parse()?,
             ready: format!("{ip}:8141").parse()?,
-            boot,
+            settings_file,
             store_link,
         };
         self.gateways.push(gateway);
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -103,7 +103,7 @@
 
 fn gateway_settings_file() -> impl bpaf::Parser<PathBuf> {
     bpaf::long("settings")
-        .env(platform::BOOT_VARIABLE)
+        .env(platform::SETTINGS_FILE_VARIABLE)
         .help("Settings file of the users' platform, in TOML")
         .argument("FILE")
 }
--- a/src/cmd/daemon.rs
+++ b/src/cmd/daemon.rs
@@ -45,8 +45,9 @@
 }
 
 fn check_gateway_settings(file: &Path) -> CommandResult {
-    let boot = platform::Boot::load(file).map_err(|error| Failure::new(EXIT_FAILED, error))?;
-    let settings = boot.gateway();
+    let platform_settings =
+        platform::PlatformSettings::load(file).map_err(|error| Failure::new(EXIT_FAILED, error))?;
+    let settings = platform_settings.gateway();
     let settings = settings.map_err(|error| Failure::new(EXIT_FAILED, error))?;
     println!(
         "{}: valid settings of gateway `{}`",
