--- a/components/standin/src/engine/mod.rs
+++ b/components/standin/src/engine/mod.rs
@@ -29,5 +29,5 @@
 pub use state::OrderRequest;
 pub use state::StateResponse;
 pub(crate) use state::consume_fault;
-pub use text::answer_text;
 pub use text::body_digest;
+pub use text::output_text;
--- a/components/standin/src/engine/text.rs
+++ b/components/standin/src/engine/text.rs
@@ -81,7 +81,7 @@
 
 /// Complete output text for a prompt.
 #[must_use]
-pub fn answer_text(prompt: &str, tokens: u32) -> String {
+pub fn output_text(prompt: &str, tokens: u32) -> String {
     let digest = body_digest(prompt.as_bytes());
     (0..tokens).map(|index| token(digest, index)).collect()
 }
--- a/components/testbed/src/configuration.rs
+++ b/components/testbed/src/configuration.rs
@@ -42,7 +42,7 @@
         for command in commands {
             self.execute_with_retry(command).await?;
         }
-        for entry in 0..self.plan.entries {
+        for entry in 0..self.options.entries {
             self.wait_for_targets(entry).await?;
         }
         Ok(())
@@ -65,7 +65,7 @@
     async fn wait_for_targets(&self, entry: usize) -> eyre::Result<()> {
         let deadline = Instant::now() + START_TIMEOUT_MS;
         while Instant::now() < deadline {
-            if self.count_open_targets(entry).await == self.plan.engines + 1 {
+            if self.count_open_targets(entry).await == self.options.engines + 1 {
                 return Ok(());
             }
             Timer::after(POLL_INTERVAL_MS).await;
--- a/components/testbed/src/deployment.rs
+++ b/components/testbed/src/deployment.rs
@@ -37,7 +37,7 @@
 
 /// Options of a deployment.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct DeploymentOptions {
     /// Number of engines; the last one ignores fencing numbers.
     pub engines: usize,
     /// Number of entries.
@@ -64,11 +64,11 @@
 
 /// A running deployment. Stand-ins run until the program ends; daemons are killed on drop.
 pub struct Deployment {
-    pub(crate) plan: Plan,
+    pub(crate) options: DeploymentOptions,
     directory: PathBuf,
     /// Address of the stand-in platform.
     pub platform: SocketAddr,
-    /// Control address of the forwarder, if the plan has one.
+    /// Control address of the forwarder, if the options ask for one.
     pub forwarder: SocketAddr,
     /// Addresses of the stand-in engines.
     pub engines: Vec<SocketAddr>,
@@ -87,20 +87,20 @@
     /// # Errors
     ///
     /// A process cannot be started, or not all targets open in time.
-    pub async fn start(plan: Plan) -> eyre::Result<Self> {
+    pub async fn start(options: DeploymentOptions) -> eyre::Result<Self> {
         let name = format!("chervilspool-testbed-{}", std::process::id());
         let directory = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&directory)
             .wrap_err("cannot create the directory for settings and logs")?;
         let mut addresses = Vec::new();
-        for _ in 0..plan.entries {
+        for _ in 0..options.entries {
             addresses.push(EntryAddresses {
                 callers: free_address(),
                 operators: free_address(),
                 peers: free_address(),
             });
         }
-        let engines = (0..plan.engines).map(|_| free_address()).collect();
+        let engines = (0..options.engines).map(|_| free_address()).collect();
         let deployment = Self {
             directory,
             platform: free_address(),
@@ -110,7 +110,7 @@
             addresses,
             entries: RefCell::default(),
             agents: RefCell::default(),
-            plan,
+            options,
         };
         deployment.start_targets()?;
         deployment.start_entries()?;
@@ -127,7 +127,7 @@
     /// Name of a target: engines by index, then the plain service.
     #[must_use]
     pub fn target(&self, index: usize) -> String {
-        if index < self.plan.engines {
+        if index < self.options.engines {
             format!("bitacora-{index}")
         } else {
             "ordenes-0".to_owned()
@@ -188,7 +188,7 @@
     }
 
     /// Removes settings and logs, or prints where they are if `keep` is set.
-    pub fn clean_up(&self, keep: bool) {
+    pub fn remove_files(&self, keep: bool) {
         if keep {
             eprintln!("logs are kept in {}", self.directory.display());
         } else {
@@ -199,14 +199,14 @@
     fn start_targets(&self) -> eyre::Result<()> {
         standins::platform(self.platform);
         let mut links = Vec::new();
-        for index in 0..=self.plan.engines {
+        for index in 0..=self.options.engines {
             let listen = free_address();
-            let advertise = if self.plan.forwarder {
+            let advertise = if self.options.forwarder {
                 free_address()
             } else {
                 listen
             };
-            if self.plan.forwarder {
+            if self.options.forwarder {
                 links.push(Link {
                     listen: advertise,
                     target: listen,
@@ -215,7 +215,7 @@
             self.start_standin(index);
             self.start_agent(index, listen, advertise)?;
         }
-        if self.plan.forwarder {
+        if self.options.forwarder {
             standins::forwarder(self.forwarder, links);
         }
         Ok(())
@@ -223,12 +223,12 @@
 
     fn start_standin(&self, index: usize) {
         let Some(listen) = self.engines.get(index) else {
-            standins::plain(self.plain, self.plan.plain_delay_ms);
+            standins::plain(self.plain, self.options.plain_delay_ms);
             return;
         };
         standins::engine(EngineOptions {
-            instant: self.plan.instant,
-            ignore_fencing: index + 1 == self.plan.engines,
+            instant: self.options.instant,
+            ignore_fencing: index + 1 == self.options.engines,
             away_ms: 1000,
             decode_rate: 200.0,
             ..EngineOptions::new(*listen)
@@ -242,7 +242,7 @@
         advertise: SocketAddr,
     ) -> eyre::Result<()> {
         let engine = self.engines.get(index);
-        let honours_fencing = engine.is_some() && index + 1 < self.plan.engines;
+        let honours_fencing = engine.is_some() && index + 1 < self.options.engines;
         let name = self.target(index);
         let settings = json!({
             "daemon": "agent",
@@ -285,7 +285,7 @@
                 "operators": [{"name": "testbed", "token": OPERATOR_TOKEN}],
                 "caller_identity": {"header": "X-Caller"},
                 "intervals": {"balancer_notice_ms": 200, "lease_ms": 2000},
-                "log": {"level": if self.plan.log_requests { "debug" } else { "info" }},
+                "log": {"level": if self.options.log_requests { "debug" } else { "info" }},
             });
             let process = self.start_daemon("entry", &name, &settings)?;
             self.entries.borrow_mut().push(process);
--- a/components/testbed/src/gateways.rs
+++ b/components/testbed/src/gateways.rs
@@ -72,7 +72,7 @@
 }
 
 /// Gateways with their stand-ins.
-pub struct GatewayBed {
+pub struct GatewayTestbed {
     /// Stand-in for the store of the platform.
     pub store: Rc<FeedStore>,
     /// Stand-in engines and their addresses, whether registered or not.
@@ -96,7 +96,7 @@
     ("write-3", Stage::Decode),
 ];
 
-impl GatewayBed {
+impl GatewayTestbed {
     /// Starts the stand-ins and the given number of gateways, and waits until these are ready. A
     /// gateway is started as `program` with `arguments` and the path of its settings file. Settings
     /// and logs are written to `directory`.
@@ -259,7 +259,7 @@
             }
             Timer::after(POLL_INTERVAL_MS).await;
         }
-        let log = self.gateways[number].process.logged()?;
+        let log = self.gateways[number].process.read_log()?;
         eyre::bail!("gateway {number} is not ready: {log}")
     }
 
@@ -391,13 +391,13 @@
 
 /// A request of a caller. It is for a model if `tokens` is set.
 #[derive(Debug, Clone)]
-pub struct Sent<'a> {
+pub struct TestRequest<'a> {
     /// Request id, sent as `X-Attempt-Id`.
     pub id: &'a str,
     /// Path; `/read/` is requested with GET, all others with POST.
     pub path: &'a str,
     /// Time for which the caller waits, sent as `X-Deadline-Ms`.
-    pub patience_ms: Duration,
+    pub timeout_ms: Duration,
     /// Tokens of the prompt, nine tenths of which are a prefix shared by all requests.
     pub tokens: Option<u32>,
 }
@@ -407,17 +407,23 @@
 /// # Errors
 ///
 /// There is no complete response.
-pub async fn send(client: &Client, sent: &Sent<'_>) -> Result<BufferedResponse, ClientError> {
-    let method = if sent.path.starts_with("/read/") {
+pub async fn send(
+    client: &Client,
+    test_request: &TestRequest<'_>,
+) -> Result<BufferedResponse, ClientError> {
+    let method = if test_request.path.starts_with("/read/") {
         Method::Get
     } else {
         Method::Post
     };
-    let mut request = client.request(method, sent.path)?;
+    let mut request = client.request(method, test_request.path)?;
     request.insert_header("host", HOST);
-    request.insert_header("x-attempt-id", sent.id);
-    request.insert_header("x-deadline-ms", sent.patience_ms.as_millis().to_string());
-    if let Some(tokens) = sent.tokens {
+    request.insert_header("x-attempt-id", test_request.id);
+    request.insert_header(
+        "x-deadline-ms",
+        test_request.timeout_ms.as_millis().to_string(),
+    );
+    if let Some(tokens) = test_request.tokens {
         request.insert_header("x-token-counts", format!("{tokens},35"));
         let shared = tokens - tokens / 10;
         let own = tokens / 10;
--- a/components/testbed/src/lib.rs
+++ b/components/testbed/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use daemon::run_if_daemon;
 pub use deployment::Deployment;
-pub use deployment::Plan;
+pub use deployment::DeploymentOptions;
 pub use deployment::call;
-pub use gateways::GatewayBed;
+pub use gateways::GatewayTestbed;
 pub use process::Process;
--- a/components/testbed/src/process.rs
+++ b/components/testbed/src/process.rs
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// The log cannot be read.
-    pub fn logged(&self) -> eyre::Result<String> {
+    pub fn read_log(&self) -> eyre::Result<String> {
         std::fs::read_to_string(&self.log)
             .wrap_err_with(|| format!("cannot read {}", self.log.display()))
     }
--- a/examples/gateways/callers.rs
+++ b/examples/gateways/callers.rs
@@ -12,10 +12,10 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 use smol::Timer;
-use standin::staged_engine::EVENTS;
+use standin::staged_engine::EVENT_COUNT;
 use standin::staged_engine::event;
-use standin::staged_engine::plain_answer;
-use testbed::gateways::Sent;
+use standin::staged_engine::plain_response_body;
+use testbed::gateways::TestRequest;
 use testbed::gateways::send;
 
 use crate::verdict::Answer;
@@ -66,19 +66,19 @@
             let id = format!("c{}-{count}", self.number);
             let is_prompt = matches!(prefix, "/draft/" | "/tag/");
             let tokens = self.random.random_range(300..20_000);
-            let sent = Sent {
+            let sent = TestRequest {
                 id: &id,
                 path: &format!("{prefix}{count}"),
-                patience_ms: PATIENCE_MS,
+                timeout_ms: PATIENCE_MS,
                 tokens: is_prompt.then_some(tokens),
             };
             let sent_at = Instant::now();
             let answer = match send(client, &sent).await {
                 Ok(whole) => {
                     let expected = if is_prompt {
-                        (1..=EVENTS).map(|number| event(&id, number)).collect()
+                        (1..=EVENT_COUNT).map(|number| event(&id, number)).collect()
                     } else {
-                        plain_answer(&id)
+                        plain_response_body(&id)
                     };
                     Answer::Whole {
                         status: u16::from(whole.status),
--- a/examples/gateways/faults.rs
+++ b/examples/gateways/faults.rs
@@ -15,7 +15,7 @@
 use standin::forwarder::Silence;
 use standin::staged_engine::EngineMode;
 use standin::staged_engine::Stage;
-use testbed::GatewayBed;
+use testbed::GatewayTestbed;
 
 use crate::verdict::Verdict;
 
@@ -59,7 +59,7 @@
 
 /// Injects faults until a moment, and repairs all of them.
 pub async fn inject(
-    bed: &mut GatewayBed,
+    bed: &mut GatewayTestbed,
     verdict: &Rc<RefCell<Verdict>>,
     mut random: StdRng,
     until: Instant,
@@ -122,11 +122,11 @@
                 ("open connections to the store silent for good", None)
             }
             6 => {
-                bed.store.set_mode(StoreMode::Silent);
+                bed.store.set_mode(StoreMode::Unresponsive);
                 ("store silent", Some(Repair::Store))
             }
             7 => {
-                bed.store.set_mode(StoreMode::Busy);
+                bed.store.set_mode(StoreMode::Unavailable);
                 ("store busy", Some(Repair::Store))
             }
             8 => {
@@ -159,13 +159,13 @@
     repair(bed, verdict, repairs).await
 }
 
-fn misbehave(bed: &GatewayBed, random: &mut StdRng) {
+fn misbehave(bed: &GatewayTestbed, random: &mut StdRng) {
     let modes = [
-        EngineMode::Full,
-        EngineMode::LosesAnswers,
-        EngineMode::Silent,
-        EngineMode::BreaksStreams,
-        EngineMode::Repeats,
+        EngineMode::Overloaded,
+        EngineMode::LosesResponses,
+        EngineMode::Unresponsive,
+        EngineMode::TruncatesStreams,
+        EngineMode::DuplicatesResponses,
         EngineMode::Fails,
     ];
     let mode = modes[random.random_range(0..modes.len())];
@@ -176,7 +176,7 @@
 
 /// A planned stop, during which callers go on, and a new start.
 async fn stop(
-    bed: &mut GatewayBed,
+    bed: &mut GatewayTestbed,
     verdict: &Rc<RefCell<Verdict>>,
     gateway: usize,
 ) -> eyre::Result<()> {
@@ -195,7 +195,7 @@
 }
 
 async fn repair(
-    bed: &mut GatewayBed,
+    bed: &mut GatewayTestbed,
     verdict: &Rc<RefCell<Verdict>>,
     due: Vec<Lasting>,
 ) -> eyre::Result<()> {
@@ -207,8 +207,8 @@
             Repair::Resume(at) => bed.gateways[at].process.resume(),
             Repair::Restart(at) => bed.gateways[at].process.restart()?,
             Repair::StoreLink(at) => bed.set_store_link(at, Mode::default()).await?,
-            Repair::Store => bed.store.set_mode(StoreMode::Well),
-            Repair::Engines => bed.set_mode(None, EngineMode::Well),
+            Repair::Store => bed.store.set_mode(StoreMode::Healthy),
+            Repair::Engines => bed.set_mode(None, EngineMode::Healthy),
             Repair::Register(engine) => {
                 bed.register(&engine, "ready");
                 verdict.borrow_mut().returns(&engine, Instant::now());
--- a/examples/gateways/main.rs
+++ b/examples/gateways/main.rs
@@ -24,7 +24,7 @@
 use rand::rngs::StdRng;
 use smol::LocalExecutor;
 use smol::Timer;
-use testbed::GatewayBed;
+use testbed::GatewayTestbed;
 
 use crate::verdict::Verdict;
 
@@ -80,7 +80,7 @@
         .wrap_err_with(|| format!("cannot make {}", folder.display()))?;
     let program = std::env::current_exe().wrap_err("cannot find this program")?;
     let arguments = [testbed::daemon::DAEMON, "gateway"];
-    let mut bed = GatewayBed::start(
+    let mut bed = GatewayTestbed::start(
         executor.clone(),
         &program,
         &arguments,
