--- a/components/fakes/src/hosts.rs
+++ b/components/fakes/src/hosts.rs
@@ -43,7 +43,7 @@
     }
 
     /// Sets whether the list omits a host, whatever its state.
-    pub fn set_missing(&mut self, host: &str, missing: bool) {
+    pub fn set_omitted(&mut self, host: &str, missing: bool) {
         if missing {
             self.missing.insert(host.to_owned());
         } else {
@@ -52,7 +52,7 @@
     }
 
     /// Sets whether the list shows a host as leaving, whatever its state.
-    pub fn set_named_leaving(&mut self, host: &str, leaving: bool) {
+    pub fn set_shown_leaving(&mut self, host: &str, leaving: bool) {
         if leaving {
             self.shown_leaving.insert(host.to_owned());
         } else {
--- a/components/fakes/src/objects.rs
+++ b/components/fakes/src/objects.rs
@@ -33,9 +33,9 @@
     /// Share of calls that take effect but whose reply is lost, in thousandths.
     pub lost_reply_permille: u32,
     /// Share of calls that take effect late and get no reply, in thousandths.
-    pub late_permille: u32,
+    pub delayed_call_permille: u32,
     /// Share of reads that return only the start of the object, in thousandths.
-    pub cut_short_permille: u32,
+    pub truncated_permille: u32,
     /// Latency added to every call; from 5 s on, calls time out and take effect late.
     pub slow_ms: Duration,
 }
@@ -92,7 +92,7 @@
     }
 
     /// Applies the delayed calls that are due.
-    pub fn run_late(&self) {
+    pub fn apply_delayed_calls(&self) {
         let now = self.clock.now();
         loop {
             let due = self.delayed.borrow().first_key_value().map(|(key, _)| *key);
@@ -159,7 +159,7 @@
         if faults.outage {
             return Err(StoreError::Unavailable("outage".to_owned()));
         }
-        if self.occurs(faults.late_permille) {
+        if self.occurs(faults.delayed_call_permille) {
             let delay = self.rng.borrow_mut().random_range(0..LATE_LIMIT_MS);
             self.delay_call(Duration::from_millis(delay), request);
             return self.time_out().await;
@@ -169,7 +169,7 @@
             return self.time_out().await;
         }
         if let ObjectReply::Content(Some(body)) = &mut reply
-            && self.occurs(faults.cut_short_permille)
+            && self.occurs(faults.truncated_permille)
         {
             let length = self.rng.borrow_mut().random_range(0..=body.len());
             body.truncate(length);
--- a/components/fakes/src/table.rs
+++ b/components/fakes/src/table.rs
@@ -37,11 +37,11 @@
     /// Every call fails without taking effect.
     pub outage: bool,
     /// Share of calls that are lost and time out, in thousandths.
-    pub lost_permille: u32,
+    pub lost_call_permille: u32,
     /// Share of calls that take effect but whose reply is lost, in thousandths.
     pub lost_reply_permille: u32,
     /// Share of calls that take effect late and get no reply, in thousandths.
-    pub late_permille: u32,
+    pub delayed_call_permille: u32,
     /// Latency added to every call.
     pub slow_ms: Duration,
 }
@@ -89,7 +89,7 @@
     }
 
     /// Sets the observer of committed transactions, which replaces the one before.
-    pub fn observe(&self, on_commit: OnCommit) {
+    pub fn on_commit(&self, on_commit: OnCommit) {
         *self.on_commit.borrow_mut() = Some(on_commit);
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Applies the delayed calls that are due.
-    pub fn run_late(&self) {
+    pub fn apply_delayed_calls(&self) {
         let now = self.clock.now();
         loop {
             let due = self.delayed.borrow().first_key_value().map(|(key, _)| *key);
@@ -157,10 +157,10 @@
         if faults.outage {
             return Err(StoreError::Unavailable("outage".to_owned()));
         }
-        if self.occurs(faults.lost_permille) {
+        if self.occurs(faults.lost_call_permille) {
             return self.time_out().await;
         }
-        if self.occurs(faults.late_permille) {
+        if self.occurs(faults.delayed_call_permille) {
             let delay = self.rng.borrow_mut().random_range(0..LATE_LIMIT_MS);
             let at = self.clock.now() + Duration::from_millis(delay);
             self.calls.set(self.calls.get() + 1);
--- a/components/fakes/src/target.rs
+++ b/components/fakes/src/target.rs
@@ -1,7 +1,7 @@
 //! Fake engine or plain service in virtual time, which records its runs and executed orders.
 //!
-//! The ledger records what the targets really did. The randomised runs check the guarantees of the
-//! system against it.
+//! The execution log records what the targets really did. The randomised runs check the
+//! guarantees of the system against it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 /// Size limit of the parts of an answer that is longer than this.
 const LARGE_PART_BYTES: usize = 16 << 10;
 /// Prefix of the request bodies whose answers are too large for a claim row.
-pub const LARGE_ORDER: &[u8] = b"Order large";
+pub const LARGE_REQUEST_PREFIX: &[u8] = b"Order large";
 /// Longer prompts take 150 to 600 ms to the first byte, shorter ones 10 to 60 ms.
 const LONG_PROMPT_TOKENS: u32 = 1_000;
 /// Longer prompts take 3 to 7.5 s to the first byte.
@@ -47,18 +47,18 @@
 
 /// Record of what all targets did.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct ExecutionLog {
     /// Numbers of the runs of each request body.
-    pub runs: HashMap<Vec<u8>, Vec<u64>>,
+    pub runs_by_body: HashMap<Vec<u8>, Vec<u64>>,
     /// Number of runs of each request, over all its attempts.
-    pub ran: HashMap<RequestId, u32>,
+    pub runs_by_request: HashMap<RequestId, u32>,
     last_run: u64,
     /// Descriptions of orders that broke an invariant.
     pub violations: Vec<String>,
     /// Executed orders, with the time and the agent that sent them.
-    pub obeyed: Vec<(Instant, Incarnation, Order)>,
+    pub executed_orders: Vec<(Instant, Incarnation, Order)>,
     /// Number of orders refused as older than the last one.
-    pub fenced: u64,
+    pub fenced_orders: u64,
 }
 
 /// Answer of run `run` to a request body; the same for every run unless `sampled`.
@@ -72,7 +72,7 @@
     let sum = body
         .iter()
         .fold(7_usize, |sum, byte| sum * 31 % 65_521 + usize::from(*byte));
-    let length = match body.starts_with(LARGE_ORDER) {
+    let length = match body.starts_with(LARGE_REQUEST_PREFIX) {
         false => answer.len() + sum % 4_000,
         // One in 29 is larger than the 1 MiB that is kept for repeated requests.
         true if sum.is_multiple_of(29) => (1 << 20) + 1,
@@ -112,14 +112,14 @@
     pub honours_fencing: bool,
     /// Prefix cache; unused by a plain service.
     pub cache: TargetCache,
-    ledger: Rc<RefCell<Ledger>>,
+    execution_log: Rc<RefCell<ExecutionLog>>,
     rng: StdRng,
     base: EngineState,
     state: EngineState,
     away_until: Option<Instant>,
     is_down: bool,
     /// No order was executed since the last start, so the state may differ from the last order.
-    is_restarted: bool,
+    has_no_order_since_start: bool,
     /// Last executed order, forgotten in a restart.
     last_order: Option<Order>,
     /// Last executed order, kept across restarts for the invariant checks.
@@ -134,20 +134,20 @@
         kind: ServiceKind,
         honours_fencing: bool,
         base: EngineState,
-        ledger: Rc<RefCell<Ledger>>,
+        execution_log: Rc<RefCell<ExecutionLog>>,
         seed: u64,
     ) -> Self {
         Self {
             kind,
             honours_fencing,
             cache: TargetCache::new(seed ^ 1),
-            ledger,
+            execution_log,
             rng: StdRng::seed_from_u64(seed),
             state: base.clone(),
             base,
             away_until: None,
             is_down: false,
-            is_restarted: true,
+            has_no_order_since_start: true,
             last_order: None,
             last_executed: None,
             runs: BTreeMap::new(),
@@ -156,7 +156,7 @@
 
     /// Number of runs in progress.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
@@ -174,13 +174,13 @@
 
     /// Whether it has executed no order since its last start.
     #[must_use]
-    pub fn is_restarted(&self) -> bool {
-        self.is_restarted
+    pub fn has_no_order_since_start(&self) -> bool {
+        self.has_no_order_since_start
     }
 
     /// Whether what an attempt needs is loaded. Empty fields match any model or version.
     #[must_use]
-    pub fn holds(&self, needs: &LoadedModel) -> bool {
+    pub fn has_loaded(&self, needs: &LoadedModel) -> bool {
         let loaded = &self.state.loaded;
         (needs.model.is_empty() || needs.model == loaded.model)
             && (needs.version.is_empty() || needs.version == loaded.version)
@@ -238,16 +238,23 @@
     }
 
     fn record_run(&mut self, attempt: AttemptId, body: &[u8]) -> u64 {
-        let mut ledger = self.ledger.borrow_mut();
-        ledger.last_run += 1;
-        let number = ledger.last_run;
-        ledger.runs.entry(body.to_vec()).or_default().push(number);
-        *ledger.ran.entry(attempt.request).or_default() += 1;
+        let mut execution_log = self.execution_log.borrow_mut();
+        execution_log.last_run += 1;
+        let number = execution_log.last_run;
+        execution_log
+            .runs_by_body
+            .entry(body.to_vec())
+            .or_default()
+            .push(number);
+        *execution_log
+            .runs_by_request
+            .entry(attempt.request)
+            .or_default() += 1;
         number
     }
 
     /// Next part or end of the answer of a run, with its delay; `None` if the run is unknown.
-    pub fn read(&mut self, agent: Incarnation, run: RunId) -> Option<(Duration, Event)> {
+    pub fn next_part(&mut self, agent: Incarnation, run: RunId) -> Option<(Duration, Event)> {
         let current = self.runs.get_mut(&(agent, run))?;
         let rest = &current.answer[current.position..];
         let delay = Duration::from_millis(current.part_interval_ms);
@@ -269,12 +276,12 @@
     }
 
     /// Ends a run that the agent cancelled.
-    pub fn abort(&mut self, agent: Incarnation, run: RunId) {
+    pub fn cancel_run(&mut self, agent: Incarnation, run: RunId) {
         self.runs.remove(&(agent, run));
     }
 
     /// Ends all runs of an agent that was killed.
-    pub fn agent_gone(&mut self, agent: Incarnation) {
+    pub fn end_runs_of(&mut self, agent: Incarnation) {
         self.runs.retain(|(of, _), _| *of != agent);
     }
 
@@ -298,7 +305,7 @@
     /// Starts again with the state that it is configured with.
     pub fn restart(&mut self) {
         self.is_down = false;
-        self.is_restarted = true;
+        self.has_no_order_since_start = true;
         self.state = self.base.clone();
         self.last_order = None;
     }
@@ -331,7 +338,12 @@
     }
 
     /// Executes or refuses an order from an agent.
-    pub fn pass(&mut self, now: Instant, agent: Incarnation, order: &Order) -> OrderOutcome {
+    pub fn handle_order(
+        &mut self,
+        now: Instant,
+        agent: Incarnation,
+        order: &Order,
+    ) -> OrderOutcome {
         if self.is_down {
             return OrderOutcome::NotSent("connection refused".to_owned());
         }
@@ -343,13 +355,13 @@
             .as_ref()
             .is_some_and(|last| (order.fencing, order.number) < (last.fencing, last.number));
         if is_older && self.honours_fencing {
-            self.ledger.borrow_mut().fenced += 1;
+            self.execution_log.borrow_mut().fenced_orders += 1;
             return OrderOutcome::Fenced("older than the last order".to_owned());
         }
         self.check_invariants(agent, order);
-        self.ledger
+        self.execution_log
             .borrow_mut()
-            .obeyed
+            .executed_orders
             .push((now, agent, order.clone()));
         self.last_order = Some(order.clone());
         self.last_executed = Some(order.clone());
@@ -375,7 +387,10 @@
                 self.runs.len()
             ));
         }
-        self.ledger.borrow_mut().violations.extend(violations);
+        self.execution_log
+            .borrow_mut()
+            .violations
+            .extend(violations);
     }
 
     fn execute(&mut self, now: Instant, order: &Order) {
@@ -396,7 +411,7 @@
             OrderKind::Drain | OrderKind::Replace | OrderKind::Withdraw | OrderKind::Resume => {}
         }
         self.state.number = order.number;
-        self.is_restarted = false;
+        self.has_no_order_since_start = false;
         self.away_until = Some(now + ORDER_EXECUTION_MS);
     }
 }
--- a/examples/soak/dispatches.rs
+++ b/examples/soak/dispatches.rs
@@ -47,7 +47,10 @@
         if !target.is_serving(now) {
             return;
         }
-        let (is_fitting, is_restarted) = (target.holds(&sent.needs), target.is_restarted());
+        let (is_fitting, has_no_order_since_start) = (
+            target.has_loaded(&sent.needs),
+            target.has_no_order_since_start(),
+        );
         let is_other_run = sent.incarnation != run;
         let needs = format!("{:?}", sent.needs);
         self.count_check("final check: fits");
@@ -60,7 +63,7 @@
         if is_fitting {
             return;
         }
-        if is_restarted {
+        if has_no_order_since_start {
             // The agent learns of an engine restart only when it next reads the engine state.
             self.count("wrong at the target: just restarted");
             return;
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -252,9 +252,9 @@
         let slow_ms = self.random_ms(0, 60);
         self.table.set_faults(TableFaults {
             outage: false,
-            lost_permille: 100,
+            lost_call_permille: 100,
             lost_reply_permille: 200,
-            late_permille: 100,
+            delayed_call_permille: 100,
             slow_ms,
         });
         self.schedule_after(duration, SimEvent::Repair(Repair::Table));
@@ -301,7 +301,7 @@
         let old = self.agents[at].host.clone();
         let generation = self.agents[at].generation + 1;
         self.hosts.set(now, &old, None);
-        self.hosts.set_named_leaving(&old, false);
+        self.hosts.set_shown_leaving(&old, false);
         let new_host = self.new_agent_host(at, generation);
         self.hosts.set(now, &new_host.host, Some(HostState::Live));
         self.agents[at] = new_host;
@@ -313,13 +313,13 @@
         if self.chance(500) {
             self.record_fault("host list calls a host leaving", &at.to_string());
             // A host missing from the list is not reported as leaving.
-            self.hosts.set_missing(&host, false);
-            self.hosts.set_named_leaving(&host, true);
+            self.hosts.set_omitted(&host, false);
+            self.hosts.set_shown_leaving(&host, true);
             let now = self.now();
             self.agents[at].listed_leaving_since.get_or_insert(now);
         } else {
             self.record_fault("host list leaves a host out", &at.to_string());
-            self.hosts.set_missing(&host, true);
+            self.hosts.set_omitted(&host, true);
             self.agents[at].listed_leaving_since = None;
         }
         let delay = self.random_ms(2_000, 10_000);
--- a/examples/soak/replies.rs
+++ b/examples/soak/replies.rs
@@ -76,8 +76,8 @@
         let is_sampled = body.last().is_some_and(|byte| byte % 2 == 0);
         let (received, usage) = split_usage(received);
         let is_own = {
-            let ledger = self.ledger.borrow();
-            let runs = ledger.runs.get(&body);
+            let execution_log = self.execution_log.borrow();
+            let runs = execution_log.runs_by_body.get(&body);
             runs.is_some_and(|runs| {
                 runs.iter()
                     .any(|run| answer_to(&body, *run, is_sampled) == received)
@@ -131,7 +131,12 @@
         if refusal.run == RunState::NotRun {
             self.count_check("5 not run");
             self.refused_not_run.push(request);
-            if self.ledger.borrow().ran.contains_key(&request) {
+            if self
+                .execution_log
+                .borrow()
+                .runs_by_request
+                .contains_key(&request)
+            {
                 self.record_violation(format!("invariant 5: {body} {request:x} was run"));
             }
         }
@@ -173,7 +178,12 @@
             return;
         }
         self.count_check("6 at most once");
-        let runs = self.ledger.borrow().runs.get(body).map_or(0, Vec::len);
+        let runs = self
+            .execution_log
+            .borrow()
+            .runs_by_body
+            .get(body)
+            .map_or(0, Vec::len);
         if runs > 1 {
             self.record_violation(format!(
                 "invariant 6: {} was run {runs} times",
--- a/examples/soak/roles.rs
+++ b/examples/soak/roles.rs
@@ -114,9 +114,9 @@
     pub fn role_changes_executed(&self) -> usize {
         let commits = self.commits.borrow();
         let planned = &commits.roles.planned;
-        let ledger = self.ledger.borrow();
-        let executed: BTreeSet<(&str, u64)> = ledger
-            .obeyed
+        let execution_log = self.execution_log.borrow();
+        let executed: BTreeSet<(&str, u64)> = execution_log
+            .executed_orders
             .iter()
             .filter(|(_, _, order)| planned.contains(&(order.target.clone(), order.number)))
             .map(|(_, _, order)| (order.target.as_str(), order.number))
--- a/examples/soak/simulation.rs
+++ b/examples/soak/simulation.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use fakes::ExecutionLog;
 use fakes::FakeHosts;
 use fakes::FakeObjects;
 use fakes::FakeTable;
-use fakes::Ledger;
 use fakes::Tasks;
 use fakes::VirtualTimer;
 use rand::RngExt;
@@ -96,7 +96,7 @@
     pub table: Rc<FakeTable>,
     pub objects: Rc<FakeObjects>,
     pub hosts: FakeHosts,
-    pub ledger: Rc<RefCell<Ledger>>,
+    pub execution_log: Rc<RefCell<ExecutionLog>>,
     pub commits: Rc<RefCell<CommitObserver>>,
     pub results: Results,
     queue: EventQueue,
@@ -145,7 +145,7 @@
         let commits = Rc::new(RefCell::new(CommitObserver::default()));
         let observer = commits.clone();
         let stored = objects.clone();
-        table.observe(Box::new(move |now, rows, transaction| {
+        table.on_commit(Box::new(move |now, rows, transaction| {
             let mut commits = observer.borrow_mut();
             commits.record_commit(now, rows, transaction);
             let violations = crate::objects::unstored_objects(&stored, transaction);
@@ -158,7 +158,7 @@
             table,
             objects,
             hosts: FakeHosts::new(Duration::from_secs(1)),
-            ledger: Rc::default(),
+            execution_log: Rc::default(),
             commits,
             results: Rc::default(),
             queue: EventQueue::default(),
@@ -289,8 +289,8 @@
             };
             self.clock
                 .advance(at.saturating_duration_since(self.clock.now()));
-            self.table.run_late();
-            self.objects.run_late();
+            self.table.apply_delayed_calls();
+            self.objects.apply_delayed_calls();
             if wake_at.is_some_and(|wake_at| wake_at <= at) {
                 self.tasks.run_due();
                 self.drain_results();
--- a/examples/soak/withdrawal.rs
+++ b/examples/soak/withdrawal.rs
@@ -64,7 +64,7 @@
         let now = self.now();
         let old = self.agents[at].host.clone();
         self.hosts.set(now, &old, None);
-        self.hosts.set_named_leaving(&old, false);
+        self.hosts.set_shown_leaving(&old, false);
         let generation = self.agents[at].generation + 1;
         let kind = if at < ENGINES { "engine" } else { "plain" };
         self.names[at] = format!("{kind}-{at}-{generation}");
