--- a/components/control/src/execute.rs
+++ b/components/control/src/execute.rs
@@ -58,7 +58,7 @@
 }
 
 impl Executor {
-    /// Creates an executor for `table`, which should be a [`store::RetryingTable`] one. `seed` must
+    /// Creates an executor for `table`, which should be a [`store::RetryingTable`]. `seed` must
     /// differ between processes, because the tokens of changes are derived from it.
     #[must_use]
     pub fn new(
--- a/components/entry/tests/share.rs
+++ b/components/entry/tests/share.rs
@@ -75,8 +75,8 @@
             })
         });
         let total: usize = shares.iter().map(BTreeSet::len).sum();
-        // Each target is in two shares; per entry, data centres add at most 6 targets and the limit
-        // 8.
+        // Each target is in two shares; per entry, data centres add at most 6 targets and
+        // the limit 8.
         let most = 2 * usize::from(targets) + usize::from(entries) * (LIMIT + 6);
         is_covered && has_data_centres && total <= most
     }
