--- a/examples/chaos/callers.rs
+++ b/examples/chaos/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that resend carelessly, and what they were told.
+//! Load generator: callers that resend requests and record the outcome of each.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -24,80 +24,82 @@
 use testbed::deployment::PLAIN_SERVICE;
 
 const CALLERS: u64 = 12;
-const SENDS: u32 = 4;
+/// Maximum number of times that a request is sent, counting duplicates to two entries as one.
+const MAX_SENDS: u32 = 4;
 const CALLER_TIMEOUT_MS: Duration = Duration::from_secs(15);
+/// Upper limit of the pause between two requests of a caller.
 const MAX_PAUSE_MS: u64 = 60;
 
-/// What a caller was told about one send.
+/// Outcome of one send, as seen by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Told {
-    Answer,
+enum Outcome {
+    Answered,
     NotRun,
-    /// With the problem document.
+    /// Refused with an unknown outcome; holds the problem document.
     Unknown(String),
-    /// No answer or an incomplete one: the caller cannot know.
-    Nothing,
-    /// An answer that is not its own, or is not whole.
-    Wrong,
+    /// No response or an incomplete one, so that the outcome is unknown to the caller.
+    NoAnswer,
+    /// A success whose body is not the expected answer.
+    WrongAnswer,
 }
 
-/// All sends of one body.
+/// Outcomes of all sends of one request body.
 #[derive(Debug, Clone, Default)]
-pub struct Record {
+pub struct RequestRecord {
     pub is_order: bool,
     pub answers: u32,
     pub not_run: u32,
     pub unknown: u32,
-    pub nothing: u32,
-    pub wrong: u32,
+    pub no_answer: u32,
+    pub wrong_answers: u32,
 }
 
-/// Callers and their records.
-pub struct Load {
+/// Runs the callers and collects the outcomes.
+pub struct LoadGenerator {
     seed: u64,
     entries: Vec<SocketAddr>,
-    stopping: Cell<bool>,
-    running: Cell<u64>,
+    is_stopping: Cell<bool>,
+    running_callers: Cell<u64>,
     goodput: Cell<(u64, u64)>,
-    /// By digest of the body, which is unique to a request.
-    pub records: RefCell<BTreeMap<u64, Record>>,
-    details: RefCell<Vec<String>>,
+    /// By digest of the body; each request has a unique body.
+    pub records: RefCell<BTreeMap<u64, RequestRecord>>,
+    violation_examples: RefCell<Vec<String>>,
 }
 
-impl Load {
+impl LoadGenerator {
     pub fn new(seed: u64, entries: Vec<SocketAddr>) -> Self {
         Self {
             seed,
             entries,
-            stopping: Cell::new(false),
-            running: Cell::new(0),
+            is_stopping: Cell::new(false),
+            running_callers: Cell::new(0),
             goodput: Cell::new((0, 0)),
             records: RefCell::default(),
-            details: RefCell::default(),
+            violation_examples: RefCell::default(),
         }
     }
 
     pub fn start(self: &Rc<Self>, executor: &LocalExecutor<'static>) {
         for caller in 0..CALLERS {
             let load = self.clone();
-            self.running.set(self.running.get() + 1);
+            self.running_callers.set(self.running_callers.get() + 1);
             executor
                 .spawn(async move {
-                    load.call(caller).await;
-                    load.running.set(load.running.get() - 1);
+                    load.run_caller(caller).await;
+                    load.running_callers.set(load.running_callers.get() - 1);
                 })
                 .detach();
         }
     }
 
     pub async fn stop(&self) {
-        self.stopping.set(true);
-        while self.running.get() > 0 {
+        self.is_stopping.set(true);
+        while self.running_callers.get() > 0 {
             Timer::after(Duration::from_millis(20)).await;
         }
     }
 
-    /// Share of requests answered since the last call.
+    /// Share of requests answered since the previous call; resets the counters.
     pub fn take_goodput(&self) -> f64 {
         let (answered, all) = self.goodput.replace((0, 0));
         if all == 0 {
@@ -107,24 +109,25 @@
             / f64::from(u32::try_from(all).unwrap_or(u32::MAX))
     }
 
-    /// Examples of violations: bodies that got a wrong answer, and problem documents that call
-    /// idempotent work unknown.
-    pub fn details(&self) -> Vec<String> {
-        self.details.borrow().clone()
+    /// Examples of violations: bodies of requests with a wrong answer, and problem documents that
+    /// report an unknown outcome for idempotent requests.
+    pub fn violation_examples(&self) -> Vec<String> {
+        self.violation_examples.borrow().clone()
     }
 
-    async fn call(self: &Rc<Self>, caller: u64) {
+    async fn run_caller(self: &Rc<Self>, caller: u64) {
         let mut random = StdRng::seed_from_u64(self.seed ^ (caller << 32));
         let clients: Vec<Client> = self.entries.iter().map(|entry| client(*entry)).collect();
         let mut number = 0;
-        while !self.stopping.get() {
+        while !self.is_stopping.get() {
             number += 1;
             let request = Request::random(&mut random, caller, number);
             let answered = self
                 .send_until_answered(&clients, &request, &mut random)
                 .await;
-            let (good, all) = self.goodput.get();
-            self.goodput.set((good + u64::from(answered), all + 1));
+            let (answered_count, all) = self.goodput.get();
+            self.goodput
+                .set((answered_count + u64::from(answered), all + 1));
             let pause = Duration::from_millis(random.random_range(0..MAX_PAUSE_MS));
             Timer::after(pause).await;
         }
@@ -137,10 +140,10 @@
         random: &mut StdRng,
     ) -> bool {
         let start = Instant::now();
-        for _ in 0..SENDS {
+        for _ in 0..MAX_SENDS {
             let first = random.random_range(0..clients.len());
-            // A careless script sends the same request to two entries at once.
-            let told = if request.is_order && random.random_bool(0.2) {
+            // Some clients send the same request to two entries at the same time.
+            let outcome = if request.is_order && random.random_bool(0.2) {
                 let second = (first + 1) % clients.len();
                 let one = self.send(&clients[first], request);
                 let two = self.send(&clients[second], request);
@@ -148,10 +151,10 @@
             } else {
                 self.send(&clients[first], request).await
             };
-            match told {
-                Told::Answer => return start.elapsed() < CALLER_TIMEOUT_MS,
-                Told::Unknown(_) | Told::Wrong => return false,
-                Told::NotRun | Told::Nothing => {}
+            match outcome {
+                Outcome::Answered => return start.elapsed() < CALLER_TIMEOUT_MS,
+                Outcome::Unknown(_) | Outcome::WrongAnswer => return false,
+                Outcome::NotRun | Outcome::NoAnswer => {}
             }
             let pause = random.random_range(10..300);
             Timer::after(Duration::from_millis(pause)).await;
@@ -159,39 +162,38 @@
         false
     }
 
-    async fn send(&self, client: &Client, request: &Request) -> Told {
-        let told = smol::future::or(exchange(client, request), async {
+    async fn send(&self, client: &Client, request: &Request) -> Outcome {
+        let outcome = smol::future::or(send_once(client, request), async {
             Timer::after(CALLER_TIMEOUT_MS).await;
-            Told::Nothing
+            Outcome::NoAnswer
         })
         .await;
         let mut records = self.records.borrow_mut();
         let record = records.entry(body_digest(&request.body)).or_default();
         record.is_order = request.is_order;
-        match &told {
-            Told::Answer => record.answers += 1,
-            Told::NotRun => record.not_run += 1,
-            Told::Unknown(problem) => {
+        match &outcome {
+            Outcome::Answered => record.answers += 1,
+            Outcome::NotRun => record.not_run += 1,
+            Outcome::Unknown(problem) => {
                 record.unknown += 1;
                 if !request.is_order {
-                    self.details.borrow_mut().push(problem.clone());
+                    self.violation_examples.borrow_mut().push(problem.clone());
                 }
             }
-            Told::Nothing => record.nothing += 1,
-            Told::Wrong => {
-                record.wrong += 1;
+            Outcome::NoAnswer => record.no_answer += 1,
+            Outcome::WrongAnswer => {
+                record.wrong_answers += 1;
                 let body = String::from_utf8_lossy(&request.body).into_owned();
-                self.details.borrow_mut().push(body);
+                self.violation_examples.borrow_mut().push(body);
             }
         }
-        told
+        outcome
     }
 }
 
-/// One request.
 struct Request {
     is_order: bool,
-    stream: bool,
+    is_stream: bool,
     path: String,
     body: Vec<u8>,
     key: String,
@@ -207,7 +209,7 @@
             let receipt = standin::plain::receipt("/orders-book/new", body.as_bytes());
             return Self {
                 is_order: true,
-                stream: false,
+                is_stream: false,
                 path,
                 key,
                 expected: receipt.receipt,
@@ -219,13 +221,13 @@
             "flue ".repeat(random.random_range(1..400))
         );
         let tokens = random.random_range(2..60);
-        let stream = random.random_bool(0.5);
+        let is_stream = random.random_bool(0.5);
         let body = json!({
-            "model": "demo", "prompt": prompt, "max_tokens": tokens, "stream": stream
+            "model": "demo", "prompt": prompt, "max_tokens": tokens, "stream": is_stream
         });
         Self {
             is_order: false,
-            stream,
+            is_stream,
             path: format!("/services/{MODEL_SERVICE}/v1/completions"),
             key,
             expected: answer_text(&prompt, tokens),
@@ -233,9 +235,9 @@
         }
     }
 
-    fn is_own(&self, body: &[u8]) -> bool {
+    fn is_expected(&self, body: &[u8]) -> bool {
         let text = String::from_utf8_lossy(body);
-        if self.stream {
+        if self.is_stream {
             return streamed_text(&text).as_deref() == Some(&self.expected);
         }
         let Ok(answer) = serde_json::from_str::<Value>(&text) else {
@@ -269,9 +271,9 @@
     is_done.then_some(text)
 }
 
-async fn exchange(client: &Client, request: &Request) -> Told {
+async fn send_once(client: &Client, request: &Request) -> Outcome {
     let Ok(mut message) = client.request(Method::Post, &request.path) else {
-        return Told::Nothing;
+        return Outcome::NoAnswer;
     };
     message.insert_header("content-type", "application/json");
     message.insert_header("x-caller", "chaos");
@@ -280,22 +282,22 @@
     }
     message.set_body(request.body.clone());
     let Ok(response) = client.send_whole(message).await else {
-        return Told::Nothing;
+        return Outcome::NoAnswer;
     };
     if u16::from(response.status) == 200 {
-        // A stream that the system could not finish ends with an `error` event and an aborted
-        // connection, which `send_whole` reports as an error.
-        return if request.is_own(&response.body) {
-            Told::Answer
+        // A stream that fails after its head ends with an `error` event and an aborted connection,
+        // which `send_whole` reports as an error.
+        return if request.is_expected(&response.body) {
+            Outcome::Answered
         } else {
-            Told::Wrong
+            Outcome::WrongAnswer
         };
     }
     let problem: Value = serde_json::from_slice(&response.body).unwrap_or_default();
     match problem["run"].as_str() {
-        Some("not-run") => Told::NotRun,
-        Some("unknown") => Told::Unknown(problem.to_string()),
-        _ => Told::Nothing,
+        Some("not-run") => Outcome::NotRun,
+        Some("unknown") => Outcome::Unknown(problem.to_string()),
+        _ => Outcome::NoAnswer,
     }
 }
 
--- a/examples/chaos/faults.rs
+++ b/examples/chaos/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn at random and injected alone or in pairs.
+//! Random fault injection, one fault at a time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,12 +23,12 @@
 
 use crate::PLAN;
 
-/// Time after which a leaving target may receive no new work, from the users' target.
-const LEAVING_MS: Duration = Duration::from_secs(5);
-/// Time without faults between two of them.
-const MAX_GAP_MS: u64 = 1500;
+/// Time after which a leaving target receives no new work; required by the users.
+const NEW_WORK_LIMIT_MS: Duration = Duration::from_secs(5);
+/// Upper limit of the pause between two faults.
+const MAX_PAUSE_MS: u64 = 1500;
 
-/// Kinds of faults.
+/// Kinds of faults, as in the summary and in `--only`.
 const KINDS: [&str; 13] = [
     "kill-entry",
     "kill-agent",
@@ -50,7 +50,7 @@
     random: StdRng,
     deployment: Rc<Deployment>,
     pub counts: BTreeMap<&'static str, u32>,
-    pub late_work: RefCell<u64>,
+    pub late_runs: RefCell<u64>,
 }
 
 impl Faults {
@@ -59,11 +59,12 @@
             random: StdRng::seed_from_u64(seed),
             deployment,
             counts: BTreeMap::new(),
-            late_work: RefCell::new(0),
+            late_runs: RefCell::new(0),
         }
     }
 
-    /// Injects faults one after the other, some of them twice in a row.
+    /// Injects faults one after another for `total`; some are injected twice in a row. With `only`,
+    /// injects just that kind.
     pub async fn inject(&mut self, total: Duration, only: Option<&str>) -> eyre::Result<()> {
         let until = Instant::now() + total;
         while Instant::now() < until {
@@ -78,18 +79,18 @@
             for _ in 0..times {
                 eprintln!("chaos: {kind}");
                 *self.counts.entry(kind).or_default() += 1;
-                self.one(kind).await?;
+                self.inject_one(kind).await?;
             }
-            let gap = self.random.random_range(0..MAX_GAP_MS);
-            Timer::after(Duration::from_millis(gap)).await;
+            let pause_ms = self.random.random_range(0..MAX_PAUSE_MS);
+            Timer::after(Duration::from_millis(pause_ms)).await;
         }
         Ok(())
     }
 
-    /// Ends every fault.
-    pub async fn heal_all(&mut self) -> eyre::Result<()> {
-        self.platform(&json!({})).await;
-        self.forward(&json!({"silence": "none"})).await;
+    /// Ends all faults, restarts processes that have ended and resumes drained targets.
+    pub async fn end_all(&mut self) -> eyre::Result<()> {
+        self.set_platform_faults(&json!({})).await;
+        self.set_forwarder_mode(&json!({"silence": "none"})).await;
         for process in self.deployment.entries.borrow().iter() {
             process.resume();
         }
@@ -103,36 +104,37 @@
         Ok(())
     }
 
-    async fn one(&mut self, kind: &str) -> eyre::Result<()> {
+    async fn inject_one(&mut self, kind: &str) -> eyre::Result<()> {
         match kind {
             "kill-entry" => self.kill_entry().await,
             "kill-agent" => self.kill_agent().await,
             "pause-entry" => {
                 let index = self.random.random_range(0..2);
                 self.deployment.entries.borrow()[index].pause();
-                self.last().await;
+                self.wait_random().await;
                 self.deployment.entries.borrow()[index].resume();
                 Ok(())
             }
             "pause-agent" => {
                 let index = self.random.random_range(0..=PLAN.engines);
                 self.deployment.agents.borrow()[index].pause();
-                self.last().await;
+                self.wait_random().await;
                 self.deployment.agents.borrow()[index].resume();
                 Ok(())
             }
             "silence-existing" => {
-                self.forward(&json!({"silence": "existing"})).await;
+                self.set_forwarder_mode(&json!({"silence": "existing"}))
+                    .await;
                 Ok(())
             }
-            "silence-all" => self.silence("both").await,
+            "silence-all" => self.silence_link("both").await,
             "silence-one-way" => {
                 let direction = ["to-target", "from-target"][self.random.random_range(0..2)];
-                self.silence(direction).await
+                self.silence_link(direction).await
             }
-            "table-outage" => self.table(&json!({"outages": ["table"]})).await,
-            "table-lost-replies" => self.table(&json!({"lost_share": 0.3})).await,
-            "table-slow" => self.table(&json!({"delay_ms": 400})).await,
+            "table-outage" => self.table_fault(&json!({"outages": ["table"]})).await,
+            "table-lost-replies" => self.table_fault(&json!({"lost_share": 0.3})).await,
+            "table-slow" => self.table_fault(&json!({"delay_ms": 400})).await,
             "crash-in-change" => self.crash_in_change().await,
             "drain" => self.drain().await,
             "wrong-host-list" => self.wrong_host_list().await,
@@ -140,39 +142,39 @@
         }
     }
 
-    async fn last(&mut self) {
-        let last = self.random.random_range(300..4000);
-        Timer::after(Duration::from_millis(last)).await;
+    async fn wait_random(&mut self) {
+        let wait_ms = self.random.random_range(300..4000);
+        Timer::after(Duration::from_millis(wait_ms)).await;
     }
 
     async fn kill_entry(&mut self) -> eyre::Result<()> {
         let index = self.random.random_range(0..2);
         self.deployment.entries.borrow_mut()[index].kill();
-        self.last().await;
+        self.wait_random().await;
         self.deployment.entries.borrow_mut()[index].restart()
     }
 
     async fn kill_agent(&mut self) -> eyre::Result<()> {
         let index = self.random.random_range(0..=PLAN.engines);
         self.deployment.agents.borrow_mut()[index].kill();
-        self.last().await;
+        self.wait_random().await;
         self.deployment.agents.borrow_mut()[index].restart()
     }
 
-    async fn silence(&mut self, direction: &str) -> eyre::Result<()> {
+    async fn silence_link(&mut self, direction: &str) -> eyre::Result<()> {
         let link = self.random.random_range(0..=PLAN.engines);
-        self.forward(&json!({"silence": "all", "direction": direction, "link": link}))
+        self.set_forwarder_mode(&json!({"silence": "all", "direction": direction, "link": link}))
             .await;
-        self.last().await;
-        self.forward(&json!({"silence": "none", "link": link}))
+        self.wait_random().await;
+        self.set_forwarder_mode(&json!({"silence": "none", "link": link}))
             .await;
         Ok(())
     }
 
-    async fn table(&mut self, faults: &Value) -> eyre::Result<()> {
-        self.platform(faults).await;
-        self.last().await;
-        self.platform(&json!({})).await;
+    async fn table_fault(&mut self, faults: &Value) -> eyre::Result<()> {
+        self.set_platform_faults(faults).await;
+        self.wait_random().await;
+        self.set_platform_faults(&json!({})).await;
         Ok(())
     }
 
@@ -186,23 +188,23 @@
                 HostState::Live
             },
         };
-        // The other direction: the plain service's host is missing although it runs.
+        // The plain service's host is missing from the list although it is running.
         let hosts: Vec<HostEntry> = (0..PLAN.engines).map(entry).collect();
-        self.platform(&json!({"hosts": hosts})).await;
-        self.last().await;
+        self.set_platform_faults(&json!({"hosts": hosts})).await;
+        self.wait_random().await;
         let live: Vec<HostEntry> = (0..PLAN.engines)
             .map(|index| HostEntry {
                 host: self.deployment.host(index),
                 state: HostState::Live,
             })
             .collect();
-        self.platform(&json!({"hosts": live})).await;
+        self.set_platform_faults(&json!({"hosts": live})).await;
         Timer::after(Duration::from_secs(3)).await;
-        self.platform(&json!({})).await;
+        self.set_platform_faults(&json!({})).await;
         Ok(())
     }
 
-    /// Two operators race on one engine, which then crashes in the middle of the change.
+    /// Sends conflicting orders from two operators to one engine, which crashes during the change.
     async fn crash_in_change(&mut self) -> eyre::Result<()> {
         let index = self.random.random_range(0..PLAN.engines);
         let target = self.deployment.target(index);
@@ -215,14 +217,14 @@
         )
         .await;
         let change = |role| OrderKind::ChangeRole { role };
-        let one = self.deployment.order(0, &target, change(Role::Prefill));
-        let two = self.deployment.order(1, &target, change(Role::Decode));
-        smol::future::zip(one, two).await;
-        self.last().await;
+        let first = self.deployment.order(0, &target, change(Role::Prefill));
+        let second = self.deployment.order(1, &target, change(Role::Decode));
+        smol::future::zip(first, second).await;
+        self.wait_random().await;
         Ok(())
     }
 
-    /// Drains an engine, looks for new work after the stated time, and resumes it.
+    /// Drains an engine, counts the runs it starts after the limit, and resumes it.
     async fn drain(&mut self) -> eyre::Result<()> {
         let index = self.random.random_range(0..PLAN.engines);
         let entry = self.random.random_range(0..2);
@@ -232,19 +234,19 @@
             .order(entry, &target, OrderKind::Drain)
             .await
         {
-            Timer::after(LEAVING_MS).await;
-            let before = self.started(index).await;
+            Timer::after(NEW_WORK_LIMIT_MS).await;
+            let before = self.started_runs(index).await;
             Timer::after(Duration::from_secs(1)).await;
-            let after = self.started(index).await;
+            let after = self.started_runs(index).await;
             if let (Some(before), Some(after)) = (before, after) {
-                *self.late_work.borrow_mut() += after - before;
+                *self.late_runs.borrow_mut() += after - before;
             }
         }
         self.resume_target(index).await;
         Ok(())
     }
 
-    async fn started(&self, index: usize) -> Option<u64> {
+    async fn started_runs(&self, index: usize) -> Option<u64> {
         let engine = self.deployment.engines[index];
         let counters: EngineCounters = call(engine, Method::Get, "/counters", None::<&()>).await?;
         Some(counters.runs.iter().map(|run| u64::from(run.started)).sum())
@@ -267,7 +269,10 @@
         for processes in [&self.deployment.entries, &self.deployment.agents] {
             for process in processes.borrow_mut().iter_mut() {
                 if process.has_ended() {
-                    eprintln!("chaos: {} ended by itself", process.name());
+                    eprintln!(
+                        "chaos: process {} ended unexpectedly, restarting it",
+                        process.name()
+                    );
                     process.restart()?;
                 }
             }
@@ -275,7 +280,7 @@
         Ok(())
     }
 
-    async fn platform(&self, faults: &Value) {
+    async fn set_platform_faults(&self, faults: &Value) {
         let _: Option<Value> = call(
             self.deployment.platform,
             Method::Post,
@@ -285,7 +290,7 @@
         .await;
     }
 
-    async fn forward(&self, mode: &Value) {
+    async fn set_forwarder_mode(&self, mode: &Value) {
         let _: Option<Value> =
             call(self.deployment.forwarder, Method::Post, "/mode", Some(mode)).await;
     }
--- a/examples/chaos/main.rs
+++ b/examples/chaos/main.rs
@@ -1,9 +1,9 @@
-//! Faults on real processes on loopback, with checks where the effect is seen.
+//! Fault injection test of real processes on loopback.
 //!
-//! Starts stand-ins, agents and entries, keeps callers busy that resend carelessly, and injects
-//! kills, pauses, silent connections, outages and racing operators in random order. At the end
-//! it stops everything gracefully, compares what callers were told with what the stand-ins ran,
-//! prints one JSON line, and exits with status 1 on any violation.
+//! Starts stand-ins, agents and entries, runs callers that resend requests, and injects kills,
+//! pauses, connections that stop delivering, outages and conflicting operator commands in random
+//! order. At the end it stops all processes gracefully, compares the outcomes that callers saw with
+//! what the stand-ins ran, prints one JSON line, and exits with status 1 on any violation.
 
 mod callers;
 mod faults;
@@ -19,13 +19,13 @@
 use testbed::Deployment;
 use testbed::Plan;
 
-use crate::callers::Load;
+use crate::callers::LoadGenerator;
 use crate::faults::Faults;
 
-/// Time for the fleet to recover after the last fault, from the users' target.
+/// Time that the deployment has to recover after the last fault; required by the users.
 const RECOVERY_MS: Duration = Duration::from_secs(15);
-/// Window over which goodput is compared.
-const WINDOW_MS: Duration = Duration::from_secs(5);
+/// Period over which goodput is measured before and after the faults.
+const GOODPUT_WINDOW_MS: Duration = Duration::from_secs(5);
 
 const PLAN: Plan = Plan {
     engines: 3,
@@ -36,7 +36,7 @@
     log_requests: true,
 };
 
-/// Faults on real processes
+/// Fault injection test of real processes
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Options {
@@ -46,7 +46,7 @@
     /// Time during which faults are injected, in s
     #[bpaf(argument("S"), fallback(60))]
     seconds: u64,
-    /// Name of the only fault to inject; all without it
+    /// Name of the only kind of fault to inject; all kinds without it
     #[bpaf(argument("FAULT"))]
     only: Option<String>,
     /// Keep logs of all processes
@@ -72,9 +72,9 @@
 
 async fn run(options: Options, executor: Rc<LocalExecutor<'static>>) -> eyre::Result<bool> {
     let deployment = Rc::new(Deployment::start(PLAN).await?);
-    let load = Rc::new(Load::new(options.seed, deployment.callers()));
+    let load = Rc::new(LoadGenerator::new(options.seed, deployment.callers()));
     load.start(&executor);
-    Timer::after(WINDOW_MS).await;
+    Timer::after(GOODPUT_WINDOW_MS).await;
     let before = load.take_goodput();
 
     let mut faults = Faults::new(options.seed, deployment.clone());
@@ -84,17 +84,18 @@
             options.only.as_deref(),
         )
         .await?;
-    faults.heal_all().await?;
+    faults.end_all().await?;
     Timer::after(RECOVERY_MS).await;
     load.take_goodput();
-    Timer::after(WINDOW_MS).await;
+    Timer::after(GOODPUT_WINDOW_MS).await;
     let after = load.take_goodput();
 
     load.stop().await;
-    let unclean = deployment.stop().await;
-    let verdict = verdict::judge(&deployment, &load, &faults, unclean, before, after).await?;
+    let unclean_stops = deployment.stop().await;
+    let verdict =
+        verdict::evaluate(&deployment, &load, &faults, unclean_stops, before, after).await?;
     println!("{}", serde_json::to_string(&verdict)?);
-    let holds = verdict.holds();
-    deployment.clean_up(options.keep || !holds);
-    Ok(holds)
+    let is_passed = verdict.is_passed();
+    deployment.clean_up(options.keep || !is_passed);
+    Ok(is_passed)
 }
--- a/examples/chaos/verdict.rs
+++ b/examples/chaos/verdict.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what the stand-ins ran.
+//! Compares the outcomes that callers saw with what the stand-ins ran.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 use testbed::Deployment;
 use testbed::call;
 
-use crate::callers::Load;
+use crate::callers::LoadGenerator;
 use crate::faults::Faults;
 
-/// Least share of the earlier goodput after recovery, from the users' target.
+/// Minimum goodput after recovery, as a share of the goodput before; required by the users.
 const RECOVERED_SHARE: f64 = 0.95;
 
-/// Closing line.
+/// Summary of the run, printed as its last line.
 #[derive(Debug, Serialize)]
 pub struct Verdict {
     sent: u64,
@@ -40,8 +40,8 @@
 }
 
 impl Verdict {
-    /// Whether nothing was violated.
-    pub fn holds(&self) -> bool {
+    /// Whether there are no violations, all processes stopped cleanly and goodput has recovered.
+    pub fn is_passed(&self) -> bool {
         let violations = self.wrong
             + self.not_run_but_ran
             + self.unknown_idempotent
@@ -56,10 +56,10 @@
     }
 }
 
-/// Reads the counters of the stand-ins and judges.
-pub async fn judge(
+/// Reads the counters of the stand-ins and compares them with the callers' records.
+pub async fn evaluate(
     deployment: &Deployment,
-    load: &Load,
+    load: &LoadGenerator,
     faults: &Faults,
     unclean_stops: Vec<String>,
     goodput_before: f64,
@@ -67,11 +67,11 @@
 ) -> eyre::Result<Verdict> {
     let plain: PlainCounters = call(deployment.plain, Method::Get, "/counters", None::<&()>)
         .await
-        .ok_or_else(|| eyre::eyre!("the plain service does not tell its counters"))?;
+        .ok_or_else(|| eyre::eyre!("cannot read the counters of the plain service"))?;
     let mut engines: Vec<EngineCounters> = Vec::new();
     for engine in &deployment.engines {
         let counters = call(*engine, Method::Get, "/counters", None::<&()>).await;
-        engines.push(counters.ok_or_else(|| eyre::eyre!("an engine does not tell its counters"))?);
+        engines.push(counters.ok_or_else(|| eyre::eyre!("cannot read the counters of an engine"))?);
     }
     let mut verdict = Verdict {
         sent: 0,
@@ -83,7 +83,7 @@
         unknown_idempotent: 0,
         without_answer: 0,
         run_twice: plain.runs.values().filter(|count| **count > 1).count() as u64,
-        late_work_on_leaving: *faults.late_work.borrow(),
+        late_work_on_leaving: *faults.late_runs.borrow(),
         stale_orders: sum(&engines, |counters| counters.backward),
         overlapping_orders: sum(&engines, |counters| counters.overlapping),
         requests_cut_by_orders: engines
@@ -96,23 +96,28 @@
         goodput_before,
         goodput_after,
         faults: faults.counts.clone(),
-        examples_of_violations: load.details(),
+        examples_of_violations: load.violation_examples(),
     };
-    let ran = runs(&engines, &plain);
+    let runs_by_digest = count_runs(&engines, &plain);
     for (digest, record) in load.records.borrow().iter() {
         verdict.sent += u64::from(
-            record.answers + record.not_run + record.unknown + record.nothing + record.wrong,
+            record.answers
+                + record.not_run
+                + record.unknown
+                + record.no_answer
+                + record.wrong_answers,
         );
         verdict.answered += u64::from(record.answers);
-        verdict.wrong += u64::from(record.wrong);
+        verdict.wrong += u64::from(record.wrong_answers);
         verdict.refused_not_run += u64::from(record.not_run);
         verdict.unknown += u64::from(record.unknown);
-        verdict.without_answer += u64::from(record.nothing);
+        verdict.without_answer += u64::from(record.no_answer);
         if !record.is_order {
             verdict.unknown_idempotent += u64::from(record.unknown);
         }
-        let only_refused = record.answers + record.unknown + record.nothing + record.wrong == 0;
-        if only_refused && ran.contains_key(&format!("{digest:016x}")) {
+        let is_only_refused =
+            record.answers + record.unknown + record.no_answer + record.wrong_answers == 0;
+        if is_only_refused && runs_by_digest.contains_key(&format!("{digest:016x}")) {
             verdict.not_run_but_ran += 1;
         }
     }
@@ -126,8 +131,8 @@
         .sum()
 }
 
-/// Runs by digest of the body.
-fn runs(engines: &[EngineCounters], plain: &PlainCounters) -> BTreeMap<String, u32> {
+/// Number of runs at all stand-ins, by digest of the request body.
+fn count_runs(engines: &[EngineCounters], plain: &PlainCounters) -> BTreeMap<String, u32> {
     let mut runs = plain.runs.clone();
     for run in engines.iter().flat_map(|counters| &counters.runs) {
         *runs.entry(run.digest.clone()).or_default() += run.started;
--- a/examples/gateways/callers.rs
+++ b/examples/gateways/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep connections open and send one request after the other.
+//! Callers that send one request after another on keep-alive connections.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,26 +21,24 @@
 use crate::verdict::Answer;
 use crate::verdict::Verdict;
 
-/// Time that a caller waits.
-const PATIENCE_MS: Duration = Duration::from_secs(3);
-/// Time beyond it after which the caller hangs up.
-const HANG_UP_MS: Duration = Duration::from_millis(500);
+/// Timeout that a caller states in its requests.
+const REQUEST_TIMEOUT_MS: Duration = Duration::from_secs(3);
+/// Additional time after which the caller closes the connection.
+const HANG_UP_DELAY_MS: Duration = Duration::from_millis(500);
 /// Pause between two requests.
 const PAUSE_MS: Duration = Duration::from_millis(20);
-/// Prefixes of the routes.
+/// Path prefixes of the routes.
 const PREFIXES: [&str; 4] = ["/read/", "/order/", "/draft/", "/tag/"];
 
-/// One caller.
 pub struct Caller {
-    /// Number.
+    /// Distinguishes the ids of this caller's requests.
     pub number: usize,
-    /// Gateways.
+    /// Gateways, one of which is picked for each request.
     pub addresses: Vec<SocketAddr>,
-    /// Where answers are noted.
+    /// Collects the answers.
     pub verdict: Rc<RefCell<Verdict>>,
-    /// No further requests are to be sent.
-    pub is_over: Rc<Cell<bool>>,
-    /// Draws.
+    /// Set by the run; no further requests are sent.
+    pub is_finished: Rc<Cell<bool>>,
     pub random: StdRng,
 }
 
@@ -48,8 +46,8 @@
     /// Sends requests until the run is over.
     pub async fn run(mut self) {
         let limits = ClientLimits {
-            head_ms: PATIENCE_MS + HANG_UP_MS,
-            stall_ms: PATIENCE_MS + HANG_UP_MS,
+            head_ms: REQUEST_TIMEOUT_MS + HANG_UP_DELAY_MS,
+            stall_ms: REQUEST_TIMEOUT_MS + HANG_UP_DELAY_MS,
             connect_ms: Duration::from_secs(1),
             ..ClientLimits::default()
         };
@@ -59,40 +57,40 @@
             .map(|address| Client::new(*address, limits))
             .collect();
         let mut count = 0_u32;
-        while !self.is_over.get() {
+        while !self.is_finished.get() {
             count += 1;
             let prefix = PREFIXES[self.random.random_range(0..PREFIXES.len())];
             let client = &clients[self.random.random_range(0..clients.len())];
             let id = format!("c{}-{count}", self.number);
-            let is_prompt = matches!(prefix, "/draft/" | "/tag/");
+            let has_prompt = matches!(prefix, "/draft/" | "/tag/");
             let tokens = self.random.random_range(300..20_000);
             let sent = Sent {
                 id: &id,
                 path: &format!("{prefix}{count}"),
-                patience_ms: PATIENCE_MS,
-                tokens: is_prompt.then_some(tokens),
+                patience_ms: REQUEST_TIMEOUT_MS,
+                tokens: has_prompt.then_some(tokens),
             };
             let sent_at = Instant::now();
             let answer = match send(client, &sent).await {
-                Ok(whole) => {
-                    let expected = if is_prompt {
+                Ok(response) => {
+                    let expected = if has_prompt {
                         (1..=EVENTS).map(|number| event(&id, number)).collect()
                     } else {
                         plain_answer(&id)
                     };
-                    Answer::Whole {
-                        status: u16::from(whole.status),
-                        is_own: whole.body == expected.as_bytes(),
+                    Answer::Complete {
+                        status: u16::from(response.status),
+                        is_expected: response.body == expected.as_bytes(),
                     }
                 }
-                Err(error) => Answer::None {
+                Err(error) => Answer::Missing {
                     detail: error.to_string(),
                 },
             };
-            let took = sent_at.elapsed();
+            let duration = sent_at.elapsed();
             self.verdict
                 .borrow_mut()
-                .note(&id, prefix, sent_at, took, answer);
+                .record_answer(&id, prefix, sent_at, duration, answer);
             Timer::after(PAUSE_MS).await;
         }
     }
--- a/examples/gateways/faults.rs
+++ b/examples/gateways/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, one after the other, some of them while an earlier one lasts.
+//! Random fault injection; faults may overlap.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,18 +19,19 @@
 
 use crate::verdict::Verdict;
 
-/// Bounds of the time from one fault to the next.
+/// Range of the time between two faults.
 const PAUSE_MS: std::ops::Range<u64> = 100..900;
-/// Bounds of the time that a fault lasts.
-const LASTS_MS: std::ops::Range<u64> = 200..3_500;
-/// The same for an engine that leaves: longer than the bound for new work to it.
-const LEAVING_LASTS_MS: std::ops::Range<u64> = 8_000..11_000;
-/// Time without a new fault after some of the leavings. Earlier faults end in it, and the bound for
-/// work to a leaving engine holds for an undisturbed process only.
-const CALM_MS: Duration = Duration::from_millis(8_500);
-/// Part of the leavings that such a time follows.
-const CALM_PART: f64 = 0.5;
+/// Range of the duration of a fault.
+const DURATION_MS: std::ops::Range<u64> = 200..3_500;
+/// Range of the time for which an engine is leaving; longer than the limit for new work to it.
+const LEAVING_DURATION_MS: std::ops::Range<u64> = 8_000..11_000;
+/// Time without new faults after some engines start to leave. Earlier faults end within it; the
+/// limit for new work to a leaving engine applies only to processes without other faults.
+const NO_FAULT_MS: Duration = Duration::from_millis(8_500);
+/// Probability of such a time when an engine starts to leave.
+const NO_FAULT_PROBABILITY: f64 = 0.5;
 
+/// How a fault is ended.
 enum Repair {
     Resume(usize),
     Restart(usize),
@@ -40,16 +41,16 @@
     Register(String),
 }
 
-/// A fault that lasts, and what ends it.
-struct Lasting {
+/// Fault that is in effect, and how it is ended.
+struct ActiveFault {
     from: Instant,
     until: Instant,
     repair: Repair,
 }
 
-impl Lasting {
-    /// Engine that is leaving until then.
-    fn leaving(&self) -> Option<&String> {
+impl ActiveFault {
+    /// Engine that is leaving, if this is the fault.
+    fn leaving_engine(&self) -> Option<&String> {
         match &self.repair {
             Repair::Register(engine) => Some(engine),
             _ => None,
@@ -57,35 +58,38 @@
     }
 }
 
-/// Injects faults until a moment, and repairs all of them.
+/// Injects faults until the given time, then ends all of them.
 pub async fn inject(
     bed: &mut GatewayBed,
     verdict: &Rc<RefCell<Verdict>>,
     mut random: StdRng,
     until: Instant,
 ) -> eyre::Result<()> {
-    let mut repairs: Vec<Lasting> = Vec::new();
+    let mut active: Vec<ActiveFault> = Vec::new();
     let mut version = 1;
-    let mut calm_until = Instant::now();
+    let mut no_fault_until = Instant::now();
     while Instant::now() < until {
         Timer::after(Duration::from_millis(random.random_range(PAUSE_MS))).await;
         let now = Instant::now();
-        let (due, rest) = repairs.into_iter().partition(|l| l.until <= now);
-        repairs = rest;
-        repair(bed, verdict, due).await?;
-        if now < calm_until {
+        let (expired, remaining) = active.into_iter().partition(|fault| fault.until <= now);
+        active = remaining;
+        end_faults(bed, verdict, expired).await?;
+        if now < no_fault_until {
             continue;
         }
-        let mut lasts = Duration::from_millis(random.random_range(LASTS_MS));
+        let mut duration = Duration::from_millis(random.random_range(DURATION_MS));
         let gateway = random.random_range(0..bed.gateways.len());
-        let is_faulty = repairs.iter().any(|Lasting { repair, .. }| {
+        let is_faulty = active.iter().any(|ActiveFault { repair, .. }| {
             matches!(repair, Repair::Resume(at) | Repair::Restart(at) if *at == gateway)
         });
         let engine = random.random_range(0..bed.engines.len());
         let engine = bed.engines[engine].0.name.clone();
-        // The end of one leaving would write the entry anew in the middle of the next.
-        let leaving: Vec<_> = repairs.iter().filter_map(Lasting::leaving).collect();
-        let (name, undo) = match random.random_range(0..12) {
+        // If an engine left twice at a time, the first end would re-register it during the second.
+        let leaving: Vec<_> = active
+            .iter()
+            .filter_map(ActiveFault::leaving_engine)
+            .collect();
+        let (name, repair_action) = match random.random_range(0..12) {
             0 | 1 if !is_faulty => {
                 bed.gateways[gateway].process.kill();
                 ("gateway killed", Some(Repair::Restart(gateway)))
@@ -95,7 +99,7 @@
                 ("gateway paused", Some(Repair::Resume(gateway)))
             }
             3 if !is_faulty => {
-                stop(bed, verdict, gateway).await?;
+                restart_gracefully(bed, verdict, gateway).await?;
                 ("gateway stopped", None)
             }
             4 => {
@@ -118,7 +122,7 @@
                     ..Mode::default()
                 };
                 bed.set_store_link(gateway, mode).await?;
-                verdict.borrow_mut().disturbs(now, now);
+                verdict.borrow_mut().record_disturbance(now, now);
                 ("open connections to the store silent for good", None)
             }
             6 => {
@@ -137,29 +141,29 @@
             }
             9 if !leaving.contains(&&engine) => {
                 bed.register(&engine, "draining");
-                lasts = Duration::from_millis(random.random_range(LEAVING_LASTS_MS));
-                verdict.borrow_mut().leaves(&engine, now);
-                if random.random_bool(CALM_PART) {
-                    calm_until = now + CALM_MS;
+                duration = Duration::from_millis(random.random_range(LEAVING_DURATION_MS));
+                verdict.borrow_mut().record_leaving(&engine, now);
+                if random.random_bool(NO_FAULT_PROBABILITY) {
+                    no_fault_until = now + NO_FAULT_MS;
                 }
                 ("engine leaving", Some(Repair::Register(engine)))
             }
             _ => {
-                misbehave(bed, &mut random);
+                set_random_engine_mode(bed, &mut random);
                 ("engines misbehave", Some(Repair::Engines))
             }
         };
         verdict.borrow_mut().count_fault(name);
-        repairs.extend(undo.map(|repair| Lasting {
+        active.extend(repair_action.map(|repair| ActiveFault {
             from: now,
-            until: now + lasts,
+            until: now + duration,
             repair,
         }));
     }
-    repair(bed, verdict, repairs).await
+    end_faults(bed, verdict, active).await
 }
 
-fn misbehave(bed: &GatewayBed, random: &mut StdRng) {
+fn set_random_engine_mode(bed: &GatewayBed, random: &mut StdRng) {
     let modes = [
         EngineMode::Full,
         EngineMode::LosesAnswers,
@@ -174,8 +178,8 @@
     bed.set_mode(Some(stage), mode);
 }
 
-/// A planned stop, during which callers go on, and a new start.
-async fn stop(
+/// Stops a gateway gracefully under load and restarts it.
+async fn restart_gracefully(
     bed: &mut GatewayBed,
     verdict: &Rc<RefCell<Verdict>>,
     gateway: usize,
@@ -185,23 +189,27 @@
         .await
         .is_ok();
     let process = &mut bed.gateways[gateway].process;
-    // A process that does not handle signals yet has no request either; the signal ends it.
+    // A process that is not serving yet may not handle signals either, and the signal kills it.
     if !process.stop().await && is_serving {
-        let violation = format!("{} did not stop by itself", process.name());
+        let violation = format!("{} did not stop gracefully", process.name());
         verdict.borrow_mut().violations.push(violation);
     }
-    verdict.borrow_mut().disturbs(from, Instant::now());
+    verdict
+        .borrow_mut()
+        .record_disturbance(from, Instant::now());
     process.restart()
 }
 
-async fn repair(
+async fn end_faults(
     bed: &mut GatewayBed,
     verdict: &Rc<RefCell<Verdict>>,
-    due: Vec<Lasting>,
+    ended: Vec<ActiveFault>,
 ) -> eyre::Result<()> {
-    for Lasting { from, repair, .. } in due {
+    for ActiveFault { from, repair, .. } in ended {
         if !matches!(repair, Repair::Engines | Repair::Register(_)) {
-            verdict.borrow_mut().disturbs(from, Instant::now());
+            verdict
+                .borrow_mut()
+                .record_disturbance(from, Instant::now());
         }
         match repair {
             Repair::Resume(at) => bed.gateways[at].process.resume(),
@@ -211,7 +219,7 @@
             Repair::Engines => bed.set_mode(None, EngineMode::Well),
             Repair::Register(engine) => {
                 bed.register(&engine, "ready");
-                verdict.borrow_mut().returns(&engine, Instant::now());
+                verdict.borrow_mut().record_return(&engine, Instant::now());
             }
         }
     }
--- a/examples/gateways/main.rs
+++ b/examples/gateways/main.rs
@@ -1,10 +1,10 @@
-//! Randomised faults on gateways that run as separate processes.
+//! Fault injection test of gateways that run as separate processes.
 //!
-//! `cargo run --release --example gateways -- --seed N --seconds S` keeps callers busy on open
-//! connections while gateways are killed, paused, stopped and restarted, their links to the store
-//! go silent, and store and engines misbehave, one after the other and together. What callers and
-//! engines saw is checked against the promises; a broken one ends the run with its seed and
-//! status 1.
+//! `cargo run --release --example gateways -- --seed N --seconds S` keeps callers sending on open
+//! connections while gateways are killed, paused, stopped and restarted, their connections to the
+//! store stop delivering, and store and engines return errors or nothing, alone or at the same
+//! time. The requests of the callers are then compared with those that the engines ran. Violations
+//! are printed with the seed, and the exit status is 1.
 
 mod callers;
 mod faults;
@@ -28,22 +28,22 @@
 
 use crate::verdict::Verdict;
 
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLERS: usize = 12;
-/// Time after the last fault in which everything has to work again.
+/// Time that the deployment has to recover after the last fault.
 const RECOVERY_MS: Duration = Duration::from_secs(6);
 
-/// Randomised faults on gateways
+/// Fault injection test of gateways
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Options {
     /// Seed of the run
     #[bpaf(argument("NUMBER"), fallback(1))]
     seed: u64,
-    /// Length of the run
+    /// Time during which faults are injected, in s
     #[bpaf(argument("NUMBER"), fallback(20))]
     seconds: u64,
-    /// Gateways
+    /// Number of gateways
     #[bpaf(argument("NUMBER"), fallback(3))]
     gateways: usize,
 }
@@ -77,8 +77,9 @@
         .join("target/gateways")
         .join(format!("{}-{}", options.seed, std::process::id()));
     std::fs::create_dir_all(&folder)
-        .wrap_err_with(|| format!("cannot make {}", folder.display()))?;
-    let program = std::env::current_exe().wrap_err("cannot find this program")?;
+        .wrap_err_with(|| format!("cannot create directory {}", folder.display()))?;
+    let program =
+        std::env::current_exe().wrap_err("cannot determine the path of this executable")?;
     let arguments = [testbed::daemon::DAEMON, "gateway"];
     let mut bed = GatewayBed::start(
         executor.clone(),
@@ -90,14 +91,14 @@
     .await?;
     let verdict = Rc::new(RefCell::new(Verdict::default()));
     let addresses: Vec<_> = bed.gateways.iter().map(|gateway| gateway.callers).collect();
-    let is_over = Rc::new(Cell::new(false));
-    let calling: Vec<_> = (0..CALLERS)
+    let is_finished = Rc::new(Cell::new(false));
+    let tasks: Vec<_> = (0..CALLERS)
         .map(|number| {
             let caller = callers::Caller {
                 number,
                 addresses: addresses.clone(),
                 verdict: verdict.clone(),
-                is_over: is_over.clone(),
+                is_finished: is_finished.clone(),
                 random: StdRng::seed_from_u64(options.seed ^ (number as u64) << 32),
             };
             executor.spawn(caller.run())
@@ -107,26 +108,26 @@
     let random = StdRng::seed_from_u64(options.seed);
     faults::inject(&mut bed, &verdict, random, until).await?;
     Timer::after(RECOVERY_MS).await;
-    let recovered_from = Instant::now();
+    let recovered_at = Instant::now();
     Timer::after(Duration::from_secs(2)).await;
-    is_over.set(true);
-    for caller in calling {
+    is_finished.set(true);
+    for caller in tasks {
         caller.await;
     }
     let mut verdict = verdict.replace(Verdict::default());
-    verdict.check(&bed, recovered_from);
+    verdict.check(&bed, recovered_at);
     for gateway in &mut bed.gateways {
         if !gateway.process.stop().await {
             let name = gateway.process.name().to_owned();
             verdict
                 .violations
-                .push(format!("{name} did not stop by itself"));
+                .push(format!("{name} did not stop gracefully"));
         }
     }
     if verdict.violations.is_empty() {
-        // Logs are kept for runs that failed only.
+        // Logs are kept only if the run has failed.
         std::fs::remove_dir_all(&folder)
-            .wrap_err_with(|| format!("cannot remove {}", folder.display()))?;
+            .wrap_err_with(|| format!("cannot remove directory {}", folder.display()))?;
     }
     Ok(verdict)
 }
--- a/examples/gateways/verdict.rs
+++ b/examples/gateways/verdict.rs
@@ -1,4 +1,4 @@
-//! What callers and engines saw, and the promises.
+//! Records what callers observed and compares it with what the engines ran.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,30 +8,27 @@
 use serde_json::json;
 use testbed::GatewayBed;
 
-/// The users' bound for work to a leaving engine, for processes that are not disturbed.
-const LEAVING_MS: Duration = Duration::from_secs(2);
-/// The users' time after a disturbance in which a process is not held to that bound.
-const CONTACT_MS: Duration = Duration::from_secs(3);
-/// Time that callers give a request, and the slack in which its final answer has to come.
-const ANSWERED_MS: Duration = Duration::from_millis(3_000 + 500);
-/// Least share of requests that are answered after all faults have ended.
+/// Time after which a leaving engine receives no new work from an undisturbed gateway; required
+/// by the users.
+const NEW_WORK_LIMIT_MS: Duration = Duration::from_secs(2);
+/// Time after a disturbance during which that limit does not apply; allowed by the users.
+const DISTURBANCE_GRACE_MS: Duration = Duration::from_secs(3);
+/// Timeout stated by the callers (3 s) plus the time within which a final answer must follow.
+const ANSWER_LIMIT_MS: Duration = Duration::from_millis(3_000 + 500);
+/// Minimum share of requests answered successfully after all faults have ended.
 const RECOVERED_SHARE: f64 = 0.95;
 
-/// What a caller got.
+/// Response that a caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// A whole answer.
-    Whole {
-        /// Status.
+    /// A complete response.
+    Complete {
         status: u16,
-        /// The body is what the engine sends for this request.
-        is_own: bool,
-    },
-    /// No whole answer.
-    None {
-        /// Cause.
-        detail: String,
+        /// The body is the engine's answer to this request.
+        is_expected: bool,
     },
+    /// No response, or an incomplete one.
+    Missing { detail: String },
 }
 
 #[derive(Debug)]
@@ -45,44 +42,49 @@
 struct Leaving {
     engine: String,
     from: Instant,
-    /// `None` while it lasts.
+    /// `None` while the engine is leaving.
     until: Option<Instant>,
 }
 
-/// Facts of a run.
+/// Observations and violations of a run.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// Broken promises.
+    /// Violations found, printed with the seed.
     pub violations: Vec<String>,
     requests: BTreeMap<String, Request>,
     leaving: Vec<Leaving>,
-    /// Spans in which a gateway did not run or the store could not be followed.
-    disturbed: Vec<(Instant, Instant)>,
+    /// Periods in which a gateway was not running or could not read the store.
+    disturbances: Vec<(Instant, Instant)>,
     faults: BTreeMap<&'static str, u32>,
 }
 
 impl Verdict {
-    /// Notes what a caller got.
-    pub fn note(
+    /// Records a response and checks its status, body and duration.
+    pub fn record_answer(
         &mut self,
         id: &str,
         prefix: &'static str,
         sent: Instant,
-        took: Duration,
+        duration: Duration,
         answer: Answer,
     ) {
-        if let Answer::Whole { status, is_own } = &answer {
-            if *status == 200 && !is_own {
-                let violation = format!("{id}: a success with another body");
+        if let Answer::Complete {
+            status,
+            is_expected,
+        } = &answer
+        {
+            if *status == 200 && !is_expected {
+                let violation = format!("{id}: status 200 with an unexpected body");
                 self.violations.push(violation);
             }
             if *status == 404 {
-                let violation = format!("{id}: no route, though every version has it");
+                let violation = format!("{id}: status 404, although all versions have the route");
                 self.violations.push(violation);
             }
-            if took > ANSWERED_MS + Duration::from_millis(500) {
-                self.violations
-                    .push(format!("{id}: answered {took:?} after it was sent"));
+            if duration > ANSWER_LIMIT_MS + Duration::from_millis(500) {
+                self.violations.push(format!(
+                    "{id}: answered after {duration:?}, later than the limit"
+                ));
             }
         }
         let request = Request {
@@ -93,8 +95,8 @@
         self.requests.insert(id.to_owned(), request);
     }
 
-    /// Notes that an engine announced its leaving.
-    pub fn leaves(&mut self, engine: &str, from: Instant) {
+    /// Records when an engine was registered as leaving.
+    pub fn record_leaving(&mut self, engine: &str, from: Instant) {
         self.leaving.push(Leaving {
             engine: engine.to_owned(),
             from,
@@ -102,86 +104,96 @@
         });
     }
 
-    /// Notes that a gateway did not run, or that the store could not be followed.
-    pub fn disturbs(&mut self, from: Instant, to: Instant) {
-        self.disturbed.push((from, to));
+    /// Records a period in which a gateway was not running or could not read the store.
+    pub fn record_disturbance(&mut self, from: Instant, to: Instant) {
+        self.disturbances.push((from, to));
     }
 
-    /// Notes that a leaving engine takes work again.
-    pub fn returns(&mut self, engine: &str, at: Instant) {
-        let mut of_engine = self.leaving.iter_mut().filter(|l| l.engine == engine);
-        if let Some(last) = of_engine.next_back() {
+    /// Records when a leaving engine was registered as ready again.
+    pub fn record_return(&mut self, engine: &str, at: Instant) {
+        let mut leavings = self
+            .leaving
+            .iter_mut()
+            .filter(|leaving| leaving.engine == engine);
+        if let Some(last) = leavings.next_back() {
             last.until = Some(at);
         }
     }
 
-    /// Counts a fault.
     pub fn count_fault(&mut self, name: &'static str) {
         *self.faults.entry(name).or_default() += 1;
     }
 
-    /// Compares what callers got with what engines ran.
-    pub fn check(&mut self, bed: &GatewayBed, recovered_from: Instant) {
+    /// Compares the responses with the runs of the engines, and checks the recovery.
+    pub fn check(&mut self, bed: &GatewayBed, recovered_at: Instant) {
         let ledger = bed.ledger.borrow();
         let mut violations: Vec<String> = ledger.faults.clone();
         for (id, runs) in &ledger.runs {
             let Some(request) = self.requests.get(id) else {
                 continue;
             };
-            let is_once = matches!(request.prefix, "/order/" | "/draft/");
-            if is_once && runs.len() > 1 {
-                violations.push(format!("{id}: ran {} times: {runs:?}", runs.len()));
+            let is_at_most_once = matches!(request.prefix, "/order/" | "/draft/");
+            if is_at_most_once && runs.len() > 1 {
+                violations.push(format!(
+                    "{id}: ran {} times instead of once: {runs:?}",
+                    runs.len()
+                ));
             }
-            let is_promise = matches!(
+            let is_refused_as_not_run = matches!(
                 request.answer,
-                Answer::Whole {
+                Answer::Complete {
                     status: 408 | 421 | 429 | 503,
                     ..
                 }
             );
-            if is_promise {
-                violations.push(format!("{id}: refused as not run, but ran: {runs:?}"));
+            if is_refused_as_not_run {
+                violations.push(format!("{id}: refused as not run, but was run: {runs:?}"));
             }
             for run in runs {
-                let late = self.leaving.iter().find(|leaving| {
+                let leaving = self.leaving.iter().find(|leaving| {
                     leaving.engine == run.engine
-                        && run.began > leaving.from + LEAVING_MS
+                        && run.began > leaving.from + NEW_WORK_LIMIT_MS
                         && leaving.until.is_none_or(|until| run.began < until)
                 });
                 let is_disturbed = self
-                    .disturbed
+                    .disturbances
                     .iter()
-                    .any(|(from, to)| run.began >= *from && run.began < *to + CONTACT_MS);
-                if late.is_some() && !is_disturbed {
-                    violations.push(format!("{id}: {} got work while leaving", run.engine));
+                    .any(|(from, to)| run.began >= *from && run.began < *to + DISTURBANCE_GRACE_MS);
+                if leaving.is_some() && !is_disturbed {
+                    violations.push(format!(
+                        "{id}: {} received new work while leaving",
+                        run.engine
+                    ));
                 }
             }
         }
         for (id, request) in &self.requests {
-            let is_success = matches!(request.answer, Answer::Whole { status: 200, .. });
+            let is_success = matches!(request.answer, Answer::Complete { status: 200, .. });
             if is_success && !ledger.runs.contains_key(id) {
-                violations.push(format!("{id}: a success that no engine ran"));
+                violations.push(format!("{id}: status 200, but no engine ran it"));
             }
         }
-        let late = self.requests.values().filter(|r| r.sent > recovered_from);
-        let (answered, asked) = late.fold((0_u32, 0_u32), |(answered, asked), request| {
-            let is_success = matches!(request.answer, Answer::Whole { status: 200, .. });
-            (answered + u32::from(is_success), asked + 1)
+        let recovered = self.requests.values().filter(|r| r.sent > recovered_at);
+        let (answered, sent) = recovered.fold((0_u32, 0_u32), |(answered, sent), request| {
+            let is_success = matches!(request.answer, Answer::Complete { status: 200, .. });
+            (answered + u32::from(is_success), sent + 1)
         });
-        if asked == 0 || f64::from(answered) < RECOVERED_SHARE * f64::from(asked) {
-            violations.push(format!("{answered} of {asked} answered after the faults"));
+        if sent == 0 || f64::from(answered) < RECOVERED_SHARE * f64::from(sent) {
+            violations.push(format!(
+                "{answered} of {sent} requests succeeded after the faults"
+            ));
         }
         self.violations.extend(violations);
     }
 
-    /// Counts, for the last line of the run.
+    /// Summary of the run, printed as its last line.
     #[must_use]
     pub fn to_json(&self, seed: u64) -> Value {
         let mut statuses: BTreeMap<String, u32> = BTreeMap::new();
         for request in self.requests.values() {
             let name = match &request.answer {
-                Answer::Whole { status, .. } => status.to_string(),
-                Answer::None { .. } => "none".to_owned(),
+                Answer::Complete { status, .. } => status.to_string(),
+                Answer::Missing { .. } => "none".to_owned(),
             };
             *statuses.entry(name).or_default() += 1;
         }
