--- a/examples/soak/checks.rs
+++ b/examples/soak/checks.rs
@@ -46,8 +46,8 @@
         let (mut all, mut answered) = (0_u32, 0_u32);
         for operation in operations {
             all += 1;
-            let in_time = |at| at <= operation.started + DEADLINE_MS;
-            answered += u32::from(operation.answered.is_some_and(in_time));
+            let is_in_time = |at| at <= operation.started + DEADLINE_MS;
+            answered += u32::from(operation.answered.is_some_and(is_in_time));
         }
         f64::from(answered) / f64::from(all.max(1))
     }
--- a/examples/soak/rollout.rs
+++ b/examples/soak/rollout.rs
@@ -61,15 +61,18 @@
         let is_immediate = self.phase == Phase::Faults && self.chance(300);
         self.record_fault("roll-out", &format!("{change:?} immediate {is_immediate}"));
         self.order_rollout(&change, 0..FIRST_ENGINES);
-        let (first, rest) = if is_immediate {
+        let (profile_delay, remaining_delay) = if is_immediate {
             (Duration::ZERO, Duration::ZERO)
         } else {
             (PROFILE_DELAY_MS, REMAINING_DELAY_MS)
         };
         let stage = Stage::Profile(change.clone(), is_immediate);
-        self.schedule_after(first, SimEvent::Repair(Repair::Rollout(stage)));
+        self.schedule_after(profile_delay, SimEvent::Repair(Repair::Rollout(stage)));
         let stage = Stage::RemainingEngines(change);
-        self.schedule_after(first + rest, SimEvent::Repair(Repair::Rollout(stage)));
+        self.schedule_after(
+            profile_delay + remaining_delay,
+            SimEvent::Repair(Repair::Rollout(stage)),
+        );
     }
 
     pub fn continue_rollout(&mut self, stage: Stage) {
@@ -130,7 +133,7 @@
 
     /// Number of engines that match the profile, according to their target rows.
     fn matching_engines(&self) -> usize {
-        let fits = |target: &Target| {
+        let is_matching = |target: &Target| {
             let loaded = &target.loaded;
             let adapter = &self.model.adapter;
             target.state.accepts_work()
@@ -139,7 +142,7 @@
         };
         (0..ENGINES)
             .filter_map(|at| self.target_row(at))
-            .filter(fits)
+            .filter(is_matching)
             .count()
     }
 
