--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control and the `Retry-After` of refused requests.
 //!
-//! The load it is made for: bursts of long prompts that exceed the engines' prefill capacity for
+//! It is designed for bursts of long prompts that exceed the engines' prefill capacity for some
 //! seconds. A request that cannot be answered before its deadline, or that would wait too long in
 //! the queue, is refused at once, while its caller still has time to retry and before it takes
 //! engine time from requests that can be answered on time. The limit applies to the time in the
@@ -9,13 +9,13 @@
 
 use std::time::Duration;
 
-/// Longest wait in the queue, as a fraction of the latency objective.
+/// Maximum wait in the queue, as a fraction of the latency objective.
 const WAIT_FRACTION: f64 = 0.8;
 /// Fraction of the time left within which the last event must be expected.
 const COMPLETION_FRACTION: f64 = 0.75;
 /// Fraction of the event timeout within which the first event must be expected.
 const FIRST_EVENT_FRACTION: f64 = 0.9;
-/// Least `Retry-After` of a refused request.
+/// Minimum `Retry-After` of a refused request.
 const MIN_RETRY_AFTER_MS: f64 = 100.0;
 /// Range of the jitter added to `Retry-After`.
 const RETRY_JITTER_MS: f64 = 400.0;
--- a/components/gateway/src/core/active.rs
+++ b/components/gateway/src/core/active.rs
@@ -24,14 +24,14 @@
     pub(super) key: TargetKey,
     pub(super) load: Load,
     pub(super) started: Instant,
-    /// Expected time for the prompts queued at the target before this call.
+    /// Expected time for the prefills queued at the target before this call.
     pub(super) waiting_ms: f64,
     pub(super) is_prefill: bool,
     pub(super) transfer: Option<Transfer>,
 }
 
 impl CurrentCall {
-    /// Moves the prefill from the target's load to its measured speed; later calls do nothing.
+    /// Removes the prefill from the target's load and records its duration, once per call.
     pub(super) fn prefill_finished(&mut self, now: Instant, fleet: &mut Fleet) {
         let prefill_ms = std::mem::take(&mut self.load.prefill_ms);
         if prefill_ms <= 0.0 {
--- a/components/gateway/src/core/conclude.rs
+++ b/components/gateway/src/core/conclude.rs
@@ -17,8 +17,8 @@
 use crate::log_event::LogEvent;
 use crate::protocol::Transfer;
 
-/// Least time without an answer that counts as a failure of the target. The data sheets give plain
-/// requests about ten milliseconds of work.
+/// Minimum time without an answer that counts as a failure of the target. The data sheets give
+/// plain requests about ten milliseconds of work.
 const MIN_FAILURE_TIMEOUT_MS: Duration = Duration::from_millis(500);
 
 impl Core {
@@ -150,7 +150,7 @@
             | CallOutcome::HeadTimedOut => {}
         }
         active.tried_targets.extend(target);
-        // Also true after a call that was to resume the stream and did not.
+        // `last_event` stays set if a later call fails to resume the stream.
         let is_started = active.last_event.is_some()
             || matches!(
                 outcome,
--- a/components/gateway/src/core/mod.rs
+++ b/components/gateway/src/core/mod.rs
@@ -49,7 +49,7 @@
 /// Sequence number of a request within this process.
 pub type RequestNumber = u64;
 
-/// Least time to the deadline for which a call is started; with less, no answer could arrive.
+/// Minimum time to the deadline for which a call is started; with less, no answer could arrive.
 const MIN_CALL_MS: Duration = Duration::from_millis(20);
 /// `Retry-After` of requests that arrive before the configuration and the targets are known.
 const NOT_READY_RETRY_AFTER_MS: Duration = Duration::from_millis(300);
@@ -338,11 +338,11 @@
         if let Some(transfer) = active.transfer {
             self.unused_transfers.push(transfer);
         }
-        let (ended, detail, status) = describe(ending, outcome);
+        let (label, detail, status) = describe(ending, outcome);
         self.log_events.push(LogEvent::RequestEnded {
             request: active.request.id.clone(),
             route: active.route.name.clone(),
-            outcome: ended,
+            outcome: label,
             detail,
             status,
             first_ms: active.first_ms,
@@ -353,11 +353,11 @@
     }
 
     fn log_unrouted(&mut self, request: &CallerRequest, ending: Ending) {
-        let (ended, detail, status) = describe(ending, &CallOutcome::Abandoned);
+        let (label, detail, status) = describe(ending, &CallOutcome::Abandoned);
         self.log_events.push(LogEvent::RequestEnded {
             request: request.id.clone(),
             route: String::new(),
-            outcome: ended,
+            outcome: label,
             detail,
             status,
             first_ms: None,
--- a/components/gateway/src/daemon/callers.rs
+++ b/components/gateway/src/daemon/callers.rs
@@ -202,7 +202,7 @@
             Ok(Err(error)) => CallOutcome::AnswerLost {
                 detail: error.to_string(),
             },
-            Ok(Ok(whole)) => match self.daemon.protocol.prefill_result(&whole.body) {
+            Ok(Ok(complete)) => match self.daemon.protocol.prefill_result(&complete.body) {
                 Some(result) if status == 200 => CallOutcome::Prefilled(result),
                 _ => CallOutcome::AnswerLost {
                     detail: format!("status {status} without a valid prefill result"),
--- a/components/gateway/src/daemon/mod.rs
+++ b/components/gateway/src/daemon/mod.rs
@@ -270,11 +270,10 @@
     let client = daemon.client(transfer.address);
     let call = async {
         if let Ok(response) = client.forward(&head, &[], false, |_| true).await {
-            // On failure the engine releases the KV cache itself a little later.
             let _ = response.into_buffered().await;
         }
     };
-    // Likewise after a timeout.
+    // After a failure or a timeout, the engine releases the KV cache itself a little later.
     let _ = with_timeout(RELEASE_TIMEOUT_MS, Box::pin(call)).await;
 }
 
--- a/components/gateway/src/daemon/monitoring.rs
+++ b/components/gateway/src/daemon/monitoring.rs
@@ -15,7 +15,7 @@
 
 use crate::daemon::Daemon;
 
-/// Most connections of the load balancer, and of the metrics collector.
+/// Maximum number of connections of the load balancer, and of the metrics collector.
 const CONNECTION_LIMIT: usize = 64;
 /// Time after which an idle connection of either is closed.
 const IDLE_TIMEOUT_MS: Duration = Duration::from_mins(1);
--- a/components/gateway/src/daemon/peers.rs
+++ b/components/gateway/src/daemon/peers.rs
@@ -26,18 +26,19 @@
 use crate::log_event::LogEvent;
 use crate::prefixes::PrefixHash;
 
-/// Least time between two messages. Within it, peers place requests without knowing of the calls
+/// Minimum time between two messages. Within it, peers place requests without knowing of the calls
 /// that this process has just made.
 const MIN_SEND_INTERVAL_MS: Duration = Duration::from_millis(5);
-/// The same per peer, which bounds a process to about 1,200 datagrams a second.
+/// Minimum time between two messages for each peer; bounds a process to about 1,200 datagrams a
+/// second.
 const SEND_INTERVAL_PER_PEER_MS: Duration = Duration::from_micros(800);
 /// Interval of messages while nothing changes.
 const HEARTBEAT_MS: Duration = Duration::from_millis(500);
-/// Largest message; fits into one packet at the usual MTU.
+/// Maximum size of a message; fits into one packet at the usual MTU.
 const MESSAGE_LIMIT_BYTES: usize = 1_400;
-/// Most targets in one message; those with the most queued prefill time go first.
+/// Maximum number of targets in one message; those with the most queued prefill time go first.
 const LOADS_LIMIT: usize = 60;
-/// Most prefills in one message.
+/// Maximum number of prefills in one message.
 const PREFILLS_LIMIT: usize = 12;
 /// Format version of messages; messages of other versions are ignored.
 const FORMAT: u8 = 2;
--- a/components/gateway/src/deployment.rs
+++ b/components/gateway/src/deployment.rs
@@ -20,7 +20,7 @@
 pub type ConfigurationVersion = u64;
 /// Version of the newest change in the store that a process has applied; one counter for all rows.
 pub type ChangeVersion = u64;
-/// Route, unique within a configuration.
+/// Name of a route, unique within a configuration.
 pub type RouteName = String;
 
 /// Everything that operators configure, in one version.
@@ -77,7 +77,7 @@
     pub event_timeout_ms: Duration,
     /// Priority at the engine; 0 is the highest.
     pub priority: u8,
-    /// Most calls that may run one request, the first one included.
+    /// Maximum number of calls that may run one request, the first one included.
     pub attempt_limit: u32,
 }
 
@@ -91,7 +91,7 @@
 /// Properties that all engines of a model service share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineSpec {
-    /// Most requests in a batch.
+    /// Maximum number of requests in a batch.
     pub slots: u32,
     /// Capacity of the KV cache.
     pub kv_capacity_tokens: u64,
@@ -138,7 +138,7 @@
     pub address: SocketAddr,
     /// Data centre of its host.
     pub data_centre: DataCentre,
-    /// Most requests that the target serves at once.
+    /// Maximum number of requests that the target serves at once.
     pub slots: u32,
     /// Draining: the target finishes its requests and takes no new ones.
     pub is_draining: bool,
@@ -195,7 +195,7 @@
     /// Version of the newest change applied here; 0 before the first.
     fn known_version(&self) -> ChangeVersion;
 
-    /// Tells that a peer has applied the changes up to `version`.
+    /// Records that a peer has applied the changes up to `version`.
     fn set_peer_version(&self, version: ChangeVersion);
 
     /// Sets whether to poll often enough to detect at once that the platform has stopped answering.
--- a/components/gateway/src/events.rs
+++ b/components/gateway/src/events.rs
@@ -8,7 +8,7 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes of the body and returns the events that are complete by now.
+    /// Adds bytes of the body and returns the complete events; `None` if no event is complete yet.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Vec<u8>> {
         self.pending.extend_from_slice(bytes);
         let end = last_event_end(&self.pending)?;
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -77,7 +77,7 @@
     /// Expected end of all known prefills; `None` before the first.
     prefills_done_at: Option<Instant>,
     /// Moving average of the failure rate, from 0 to 1.
-    pub failures: f64,
+    pub failure_rate: f64,
     missing_since: Option<Instant>,
     unreachable_until: Option<Instant>,
     ejection: Ejection,
@@ -164,7 +164,7 @@
     Missing,
     /// Removed from the fleet.
     Gone,
-    /// Excluded for a while because of failures.
+    /// Gets no new work for a limited time after failures.
     Ejected,
 }
 
@@ -217,7 +217,7 @@
         // An engine of one role cannot replace one of another.
         let last_resort = unhealthy
             .into_iter()
-            .filter(|m| !roles.contains(&m.entry.role));
+            .filter(|state| !roles.contains(&state.entry.role));
         usable.extend(last_resort);
         usable
     }
@@ -258,7 +258,7 @@
             peer_load: Load::default(),
             prefill_speed: PrefillSpeed::default(),
             prefills_done_at: None,
-            failures: 0.0,
+            failure_rate: 0.0,
             missing_since: None,
             unreachable_until: None,
             ejection: Ejection::default(),
@@ -394,14 +394,14 @@
         if let Some(state) = self.targets.get_mut(name) {
             state.ejection.record_success();
             state.unreachable_until = None;
-            state.failures *= 1.0 - FAILURE_WEIGHT;
+            state.failure_rate *= 1.0 - FAILURE_WEIGHT;
         }
     }
 
     /// Records a call that failed through the target's fault. Returns what changed.
     pub fn record_failure(&mut self, now: Instant, name: &str) -> Option<TargetChange> {
         let state = self.targets.get_mut(name)?;
-        state.failures += FAILURE_WEIGHT * (1.0 - state.failures);
+        state.failure_rate += FAILURE_WEIGHT * (1.0 - state.failure_rate);
         if state.ejection.record_failure() {
             let (first, longest) = EJECTION_MS;
             state.ejection.eject_within(now, first, longest);
--- a/components/gateway/src/placement.rs
+++ b/components/gateway/src/placement.rs
@@ -1,6 +1,6 @@
 //! Placement: which target a call goes to.
 //!
-//! The load it is made for: long prompts with shared prefixes, too many for the prefill engines to
+//! It is designed for long prompts with shared prefixes, too many for the prefill engines to
 //! process twice, in bursts that load the engines unevenly. A prompt goes to the engine with the
 //! lowest score, which estimates the time to the first event from the engine's cached prefixes and
 //! from the prefills that all gateway processes have queued there, and adds the engine time that
@@ -117,7 +117,7 @@
     let first_event_ms = wait_ms + own_ms + transfer_ms + speed::FIRST_EVENT_MS;
     let score_ms = first_event_ms
         + WORK_WEIGHT * own_ms
-        + FAILURE_PENALTY_MS * state.failures
+        + FAILURE_PENALTY_MS * state.failure_rate
         + TIE_BREAK_MS * tie_break(state, request);
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // positive and small
     let placement = Placement {
@@ -183,14 +183,15 @@
         };
         let missing = prompt_tokens - cached_tokens(state, prefix_index, spec, request);
         let transfer_ms = factor * transfer_ms(spec, missing.max(0.0));
-        // The first event follows a few steps after the KV cache has arrived.
+        // The first event follows about two steps after the KV cache has arrived.
         let start_ms = speed::step_ms(runs) * state.slowdown() * 2.0 + wait_ms * 2.0;
-        let full_ms = if runs >= f64::from(spec.slots) {
+        let full_penalty_ms = if runs >= f64::from(spec.slots) {
             1e4
         } else {
             0.0
         };
-        let score_ms = transfer_ms + start_ms + FAILURE_PENALTY_MS * state.failures + full_ms;
+        let score_ms =
+            transfer_ms + start_ms + FAILURE_PENALTY_MS * state.failure_rate + full_penalty_ms;
         (score_ms, state)
     });
     let best = scored.min_by(|(a, _), (b, _)| a.total_cmp(b));
@@ -214,7 +215,7 @@
         let wait_ms = state.load().runs / slots * PLAIN_RUN_MS;
         let is_remote = state.entry.data_centre != *own_data_centre;
         let distance_ms = if is_remote { REMOTE_CALL_MS } else { 0.0 };
-        let score_ms = wait_ms + distance_ms + FAILURE_PENALTY_MS * state.failures;
+        let score_ms = wait_ms + distance_ms + FAILURE_PENALTY_MS * state.failure_rate;
         // Equal scores are resolved in round-robin order from a random start.
         let turn = (at as u64).wrapping_add(draw) % (candidates.len() as u64);
         (score_ms, turn, state)
--- a/components/gateway/src/prefixes.rs
+++ b/components/gateway/src/prefixes.rs
@@ -16,7 +16,7 @@
 /// Id of one run of a target, local to this process; a restarted target gets a new one.
 pub type InstanceId = u32;
 
-/// Most instances stored for one prefix; the least recent one is dropped.
+/// Maximum number of instances stored for one prefix; the least recent one is dropped.
 const INSTANCES_LIMIT: usize = 64;
 /// Instances of a prefix that are stored without a heap allocation; enough for most prefixes.
 const INLINE_INSTANCES: usize = 6;
--- a/components/gateway/src/retries.rs
+++ b/components/gateway/src/retries.rs
@@ -27,7 +27,7 @@
 }
 
 impl RetryAllowance {
-    /// Window of a process: one counter longer, as the oldest counter may begin before the window.
+    /// Window of a process: one slot longer, as the oldest slot may begin before the window.
     fn counted_ms(&self) -> Duration {
         self.window_ms + window::SLOT_MS
     }
--- a/components/gateway/tests/load.rs
+++ b/components/gateway/tests/load.rs
@@ -1,4 +1,4 @@
-//! Placement and admission under the load patterns that they are made for.
+//! Placement and admission under the load patterns that they are designed for.
 
 mod common;
 
--- a/components/planner/benches/plan.rs
+++ b/components/planner/benches/plan.rs
@@ -18,8 +18,8 @@
 const SIZES: [usize; 7] = [8, 16, 32, 64, 128, 256, 512];
 /// Decisions timed in one repetition.
 const DECISIONS: u32 = 2_000;
-/// Repetitions for each number of targets. The fastest counts, since other processes slow down
-/// the rest.
+/// Repetitions per number of targets. The fastest one is used, as other load on the machine only
+/// adds time.
 const REPETITIONS: usize = 9;
 
 fn main() {
--- a/components/planner/src/evaluation.rs
+++ b/components/planner/src/evaluation.rs
@@ -71,8 +71,8 @@
         Some(best)
     }
 
-    /// Whether the shift still counts. The fast estimate is noisy, so a shift may be invisible for
-    /// up to `shift_timeout_ms`.
+    /// Whether the shift has not ended. The fast estimate is noisy, so a shift ends only after no
+    /// useful change in its direction was found for `shift_timeout_ms`.
     fn is_recent(&self, now: Instant, shift: &DemandShift) -> bool {
         now.saturating_duration_since(shift.last_seen) <= self.settings.shift_timeout_ms
     }
@@ -80,7 +80,7 @@
     fn best_change(&self, figures: &Figures) -> Option<BestChange> {
         let rates = &self.settings.rates;
         let mut best: Option<BestChange> = None;
-        let urgent = figures
+        let urgent_share = figures
             .roles
             .urgent_share(&figures.fast.competing_with_urgent(), rates);
         for from in ROLES {
@@ -89,7 +89,7 @@
                     continue;
                 }
                 let after = figures.roles.with_change(from, to);
-                if after.urgent_share(&figures.fast.competing_with_urgent(), rates) < urgent {
+                if after.urgent_share(&figures.fast.competing_with_urgent(), rates) < urgent_share {
                     continue;
                 }
                 let capacity = after.capacity(&figures.fast, rates);
--- a/components/planner/src/mix.rs
+++ b/components/planner/src/mix.rs
@@ -106,8 +106,8 @@
     }
 
     fn demand(&self) -> Demand {
-        // Weight of the elapsed time. It is below the time constant at first, so that the time
-        // before the first request does not count as idle.
+        // Elapsed time, decayed like the sums. It is below the time constant at first, so that the
+        // time before the first update does not count as idle.
         let seconds = self.time_constant_s * (1.0 - (-self.elapsed_s / self.time_constant_s).exp());
         let rate = |at: usize| Rate {
             prefill: (self.sums[at] / seconds.max(0.1)).max(0.0),
@@ -121,7 +121,7 @@
     }
 }
 
-/// Fast and slow estimate of the mix.
+/// Fast and slow estimate of the demand.
 #[derive(Debug, Clone)]
 pub struct Mix {
     rates: RoleRates,
@@ -178,7 +178,7 @@
         self.slow.decay(seconds);
     }
 
-    /// Time since the first event, in seconds.
+    /// Time from the first to the latest update, in seconds.
     #[must_use]
     pub fn measured_s(&self) -> f64 {
         self.fast.elapsed_s
--- a/components/planner/src/plan.rs
+++ b/components/planner/src/plan.rs
@@ -312,8 +312,9 @@
         };
         let is_recent =
             now.saturating_duration_since(last.ordered_at) < self.settings.reversal_window_ms;
-        let direction = |from, to| RoleCounts::position(to) < RoleCounts::position(from);
-        let is_opposite = direction(last.from, last.to) != direction(best.from, best.to);
+        let is_towards_prefill = |from, to| RoleCounts::position(to) < RoleCounts::position(from);
+        let is_opposite =
+            is_towards_prefill(last.from, last.to) != is_towards_prefill(best.from, best.to);
         self.settings.mechanisms.hysteresis && is_recent && is_opposite
     }
 
@@ -332,11 +333,11 @@
             return;
         };
         let is_done = |view: &TargetView| view.name == ordered.target && view.role == ordered.to;
-        let has_ended = targets.iter().any(|view| is_done(view) && is_open(view));
+        let is_complete = targets.iter().any(|view| is_done(view) && is_open(view));
         let is_removed = !targets.iter().any(|view| view.name == ordered.target);
         let is_timed_out =
             now.saturating_duration_since(ordered.ordered_at) > self.settings.order_timeout_ms;
-        if has_ended || is_removed || is_timed_out {
+        if is_complete || is_removed || is_timed_out {
             self.pending = None;
         }
     }
--- a/components/routing/benches/choose.rs
+++ b/components/routing/benches/choose.rs
@@ -16,9 +16,10 @@
 use request::Router;
 
 const SIZES: [usize; 7] = [8, 16, 32, 64, 128, 256, 512];
-/// Decisions per timing.
+/// Decisions timed in one repetition.
 const DECISIONS: u32 = 20_000;
-/// Timings per fleet size. The fastest one is used, as other load on the machine only adds time.
+/// Repetitions per fleet size. The fastest one is used, as other load on the machine only adds
+/// time.
 const REPETITIONS: usize = 15;
 
 fn main() {
--- a/components/routing/src/ejection.rs
+++ b/components/routing/src/ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: targets that fail repeatedly get no new work for a time.
+//! Outlier ejection: targets that fail repeatedly get no new work for a limited time.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -25,8 +25,9 @@
 }
 
 impl Ejection {
-    /// Records a success. The duration of ejections starts from the base again once the latest
-    /// outcomes contain no failure; `eject` clears them.
+    /// Records a success. If the latest outcomes then contain no failure, the next ejection has the
+    /// base duration again. An ejection clears the outcomes, so one success directly after it is
+    /// enough.
     pub fn record_success(&mut self) {
         self.failure_bits = (self.failure_bits << 1) & ((1 << OUTCOME_WINDOW) - 1);
         self.consecutive_failures = 0;
--- a/components/routing/src/fleet.rs
+++ b/components/routing/src/fleet.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Adds a target, or updates it from its changed row. A changed incarnation resets
-    /// the state that the previous run reported.
+    /// Adds a target, or updates it from its changed row. A changed incarnation discards what is
+    /// known of the previous run.
     pub fn set_target(&mut self, now: Instant, target: &Target) {
         let pool = self.pool_for(&target.service);
         let Some(position) = self.positions.get(&target.name).copied() else {
--- a/components/routing/src/load.rs
+++ b/components/routing/src/load.rs
@@ -38,7 +38,7 @@
     pub decode_tokens: f64,
 }
 
-/// Load model of a run of a target.
+/// Load model of one run of a target.
 #[derive(Debug, Clone, Default)]
 pub struct LoadModel {
     report: Option<LoadReport>,
--- a/components/routing/src/member.rs
+++ b/components/routing/src/member.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Resets the state reported by the previous run.
+    /// Discards what is known of the previous run.
     pub fn restart(&mut self, incarnation: Incarnation, holder: Holder) {
         self.target.incarnation = incarnation;
         self.holder = holder;
