--- a/components/control/src/audit.rs
+++ b/components/control/src/audit.rs
@@ -12,7 +12,7 @@
 use crate::rows::RowError;
 use crate::rows::decode;
 
-/// Most log records read with one table request.
+/// Maximum number of log records read with one table request.
 const READ_ROWS: u64 = 100;
 
 /// Reads log records, newest first: at most `limit`, with revisions below `before`, or from the
--- a/components/control/src/conflict.rs
+++ b/components/control/src/conflict.rs
@@ -5,7 +5,7 @@
 use crate::command::CommandError;
 use crate::rows::RowSet;
 
-/// Most fields listed in the difference of a conflict.
+/// Maximum number of fields listed in the difference of a conflict.
 const MAX_DIFFERENCE_FIELDS: usize = 8;
 
 /// Error for a change of `item` whose author has read an earlier version of it.
--- a/components/control/src/execute.rs
+++ b/components/control/src/execute.rs
@@ -29,10 +29,10 @@
 use crate::rows::RowSet;
 use crate::rows::RowsNeeded;
 
-/// Most rows that one scan returns.
+/// Maximum number of rows that one scan returns.
 const SCAN_ROWS: usize = 500;
-/// Plans tried before the change fails as unavailable. Every change of the configuration updates
-/// `head`, so several plans in a row fail while many changes are made.
+/// Number of plans tried before a change fails as unavailable. Every change of the configuration
+/// updates `head`, so several plans in a row can conflict while many changes are made.
 const MAX_PLANS: u32 = 64;
 /// Upper bound of the delay after the first conflict on `head`; a transaction takes a few ms.
 const BACKOFF_FIRST_MS: Duration = Duration::from_millis(5);
@@ -148,7 +148,7 @@
                 other => return Err(commit_error(other, meta.token).into()),
             }
             self.back_off(attempt).await;
-            // Rereads all rows in one call after the delay, because `head` may have changed in it.
+            // Rereads all rows in one call after the delay, as `head` may have changed meanwhile.
             let keys = rows.keys_to_reread();
             rows = RowSet::default();
             if !keys.is_empty() {
--- a/components/control/src/follower.rs
+++ b/components/control/src/follower.rs
@@ -39,12 +39,12 @@
 use crate::rows::decode;
 use crate::snapshot::Snapshot;
 
-/// Log records kept for peers, which is 47 minutes of changes at the average rate expected in two
-/// years. A peer that lacks more receives a snapshot.
+/// Number of log records retained for peers: 47 minutes of changes at the average rate expected in
+/// two years. A peer that lacks more receives a snapshot.
 const RECENT_RECORDS: usize = 1024;
 
-/// Time after a read of the table during which the snapshot counts as current. When an entry loses
-/// the table, agents poll for orders themselves after this time.
+/// Time after a read of the table during which the snapshot counts as current. When the table
+/// becomes unavailable to an entry, agents poll for orders themselves after this time.
 const CURRENT_MS: Duration = Duration::from_secs(2);
 
 /// Table request in flight.
@@ -62,6 +62,7 @@
     random: StdRng,
     snapshot: Option<Rc<Snapshot>>,
     recent: VecDeque<Change>,
+    /// Latest revision that the table or another process has reported.
     known: Revision,
     lagging_since: Option<Instant>,
     call: Option<(u64, Instant, Call)>,
@@ -116,7 +117,7 @@
             .map_or(0, |snapshot| snapshot.revision())
     }
 
-    /// Whether a read of the table in the last two seconds showed that all changes are applied.
+    /// Whether a read of the table within `CURRENT_MS` showed that all changes are applied.
     #[must_use]
     pub fn is_current(&self, now: Instant) -> bool {
         self.current_as_of
@@ -166,7 +167,7 @@
             }
         }
         self.next_request(now, &mut actions);
-        self.ask_peers(now, &mut actions);
+        self.request_from_peers(now, &mut actions);
         actions
     }
 
--- a/components/control/src/follower/exchange.rs
+++ b/components/control/src/follower/exchange.rs
@@ -68,7 +68,7 @@
     }
 
     /// Requests changes from a peer, if the follower lags and the table is unavailable.
-    pub(super) fn ask_peers(&mut self, now: Instant, actions: &mut Vec<FollowerAction>) {
+    pub(super) fn request_from_peers(&mut self, now: Instant, actions: &mut Vec<FollowerAction>) {
         let is_unanswered = self.unanswered_since.is_some_and(|since| {
             now.saturating_duration_since(since) >= self.options.peer_delay_ms
         });
--- a/components/control/src/follower/options.rs
+++ b/components/control/src/follower/options.rs
@@ -8,8 +8,9 @@
     /// Longest time between polls. Each interval is random, between three quarters of this time and
     /// all of it.
     pub poll_ms: Duration,
-    /// Shortest time between two reads of the log that hints cause. All entries receive the hint of
-    /// a change at the same time, and the table serves about 2,000 reads/s to all of them together.
+    /// Shortest time between two reads of the log that are caused by hints, which are revisions
+    /// announced by other processes. All entries receive the hint of a change at the same time, and
+    /// the table serves about 2,000 reads/s to all of them together.
     pub hint_read_interval_ms: Duration,
     /// Time without a reply of the table after which changes are requested from peers.
     pub peer_delay_ms: Duration,
--- a/components/control/src/loading.rs
+++ b/components/control/src/loading.rs
@@ -15,7 +15,7 @@
 use crate::rows::decode;
 use crate::snapshot::Snapshot;
 
-/// Most rows read with one table request.
+/// Maximum number of rows read with one table request.
 pub(crate) const PAGE_ROWS: usize = 256;
 /// Key prefixes of the rows in a snapshot, in the order in which they are read.
 const PREFIXES: [&str; 4] = [keys::PROFILE, keys::SERVICE, keys::TARGET, keys::ORDER];
--- a/components/control/src/peers.rs
+++ b/components/control/src/peers.rs
@@ -10,11 +10,11 @@
 use crate::rows::encode;
 use crate::snapshot::Snapshot;
 
-/// Most bytes of records in one answer; a frame is limited to 1 MiB.
+/// Maximum size of the records in one answer; a frame is limited to 1 MiB.
 const MAX_ANSWER_BYTES: usize = 512 << 10;
-/// Most parts of a snapshot, which is 512 MiB; no expected fleet needs that much.
+/// Maximum number of parts of a snapshot, together 512 MiB; no expected fleet needs that much.
 const MAX_PARTS: u32 = 1024;
-/// Most snapshot transfers in progress at once.
+/// Maximum number of snapshots received at once.
 const MAX_TRANSFERS: usize = 4;
 
 /// Answer to a peer's request for changes; `wire::ToPeer` has a message for each variant.
--- a/components/control/src/rendezvous.rs
+++ b/components/control/src/rendezvous.rs
@@ -3,8 +3,8 @@
 
 use std::net::SocketAddr;
 
-/// Entries that compete for a lease. With three, a lease is taken over without waiting for an
-/// observer even if two of them fail at once.
+/// Number of entries that compete for a lease. With three, a lease is taken over without waiting
+/// for an observer even if two of them fail at once.
 pub const LEASE_CANDIDATES: usize = 3;
 
 /// Digest of a name; the same on every host and in every version.
--- a/components/control/src/snapshot.rs
+++ b/components/control/src/snapshot.rs
@@ -23,7 +23,7 @@
 use crate::rows::Versioned;
 use crate::rows::decode;
 
-/// Author in the records that a snapshot is sent as.
+/// Author named in the records by which a snapshot is sent to a peer.
 const SNAPSHOT_AUTHOR: &str = "snapshot";
 
 /// Items of one kind by name. Snapshots with equal items share them.
--- a/components/control/tests/commands.rs
+++ b/components/control/tests/commands.rs
@@ -110,8 +110,8 @@
 }
 
 quickcheck! {
-    /// Guards against concurrent changes of the same revision of which not exactly one is written,
-    /// and against conflicts that name another item, author or revision than the written one.
+    /// Guards against none or several of the concurrent changes of one revision being written, and
+    /// against conflicts that name the wrong item, author or revision.
     fn exactly_one_of_concurrent_commands_is_written(commands: u8, choices: Vec<u8>) -> bool {
         let fixture = Fixture::new();
         fixture.run(create("p", 1)).unwrap();
@@ -247,7 +247,7 @@
     assert_eq!(error, conflict);
 }
 
-/// Guards against names from which the key of another row would be formed.
+/// Guards against names that would form the key of another row.
 #[test]
 fn refuses_names_with_invalid_characters() {
     let fixture = Fixture::new();
--- a/components/control/tests/follower.rs
+++ b/components/control/tests/follower.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Guards against a hint that takes effect only at the next poll, also if it arrives while a table
+/// Guards against a hint that takes effect only at the next poll, even if it arrives while a table
 /// request is in flight.
 #[test]
 fn hint_causes_a_read_at_once() {
@@ -229,7 +229,7 @@
     assert_eq!(fleet.entries[0].applied, 4);
 }
 
-/// Guards against a record that this version cannot decode and skips.
+/// Guards against a follower that skips a record which this version cannot decode.
 #[test]
 fn stops_before_a_record_that_cannot_be_decoded() {
     let mut fleet = Fleet::new(Fixture::with_targets(1));
--- a/components/request/src/batch.rs
+++ b/components/request/src/batch.rs
@@ -198,8 +198,8 @@
             ..Transaction::default()
         };
         for (index, write) in writes.iter_mut().enumerate() {
-            // Without this number, a row written by an earlier transaction would be accepted as
-            // proof of this one, and the other writes would be reported as committed.
+            // Without the number of the transaction, a row written by an earlier one would be
+            // accepted as proof of this one, and the other writes reported as committed.
             write.row.proves = (index == 0).then_some(operation);
             if matches!(write.purpose, Purpose::TakeClaim(_)) {
                 write.row.expires_epoch = self.epoch + write.retention_epochs;
--- a/components/request/src/connections.rs
+++ b/components/request/src/connections.rs
@@ -1,4 +1,4 @@
-//! Attempts across lost and restored agent connections and restarts of agents.
+//! Handles attempts when agent connections are lost or restored and when agents restart.
 
 use std::time::Duration;
 
--- a/components/request/src/dispatch.rs
+++ b/components/request/src/dispatch.rs
@@ -288,7 +288,7 @@
     /// Queues a run again whose dispatch was lost with its connection. No target has worked on it,
     /// so it does not spend the retry budget.
     pub(crate) fn redispatch(&mut self, cx: &mut Context, id: RequestId) {
-        if !self.forget_if_orphaned(cx, id) {
+        if !self.remove_if_orphaned(cx, id) {
             self.enqueue(cx, id);
         }
     }
@@ -296,7 +296,7 @@
     /// Queues a run again if the retry budget allows it. The run is idempotent or known not to have
     /// been executed.
     pub(crate) fn retry(&mut self, cx: &mut Context, id: RequestId) {
-        if self.forget_if_orphaned(cx, id) {
+        if self.remove_if_orphaned(cx, id) {
             return;
         }
         let Some(run) = self.runs.get_mut(&id) else {
@@ -315,7 +315,7 @@
     }
 
     /// Removes a run that has no callers left. Returns whether it did.
-    fn forget_if_orphaned(&mut self, cx: &Context, id: RequestId) -> bool {
+    fn remove_if_orphaned(&mut self, cx: &Context, id: RequestId) -> bool {
         let is_orphaned = self.runs.get(&id).is_some_and(|run| run.waiters.is_empty());
         if is_orphaned {
             let state = self.final_claim_state(id);
--- a/components/request/src/finish.rs
+++ b/components/request/src/finish.rs
@@ -106,7 +106,7 @@
         let cause = RefusalCause::new(RefusalReason::DeadlineExceeded, Some(RETRY_MS), detail);
         let state = self.run_state_without_caller(id);
         self.refuse_caller(cx, request, &cause, state);
-        self.drop_if_orphaned(cx, id);
+        self.end_if_orphaned(cx, id);
     }
 
     pub(crate) fn caller_disconnected(&mut self, cx: &mut Context, request: RequestId) {
@@ -120,7 +120,7 @@
             }
             self.settle(cx, id, &waiter, Outcome::Abandoned, Usage::default());
         }
-        self.drop_if_orphaned(cx, id);
+        self.end_if_orphaned(cx, id);
     }
 
     fn queue_of(&mut self, id: RequestId) -> Option<&mut Queue> {
@@ -134,7 +134,7 @@
 
     /// Ends a run that no caller waits for. A non-idempotent run with an attempt in progress
     /// continues, because its answer is retained for a resend.
-    fn drop_if_orphaned(&mut self, cx: &mut Context, id: RequestId) {
+    fn end_if_orphaned(&mut self, cx: &mut Context, id: RequestId) {
         let Some(run) = self.runs.get(&id) else {
             return;
         };
--- a/components/request/src/hang_ups.rs
+++ b/components/request/src/hang_ups.rs
@@ -14,13 +14,14 @@
 /// Minimum decayed number of hang-ups for an estimate.
 const MIN_HANG_UPS: f64 = 8.0;
 
-/// Shortest limit that requests are refused by. Callers that hang up earlier send small requests,
-/// so refusing them saves little work and the estimates are too coarse: the share of such requests
-/// that were answered fell from 0.74 to 0.50 when they were refused.
+/// Shortest wait limit that is used to refuse requests. Callers that hang up earlier send small
+/// requests, so refusing them saves little work and the estimates are too coarse: the share of such
+/// requests that were answered fell from 0.74 to 0.50 when they were refused.
 const MIN_WAIT_LIMIT_S: f64 = 10.0;
 
 /// Fraction of the mean time to a hang-up that an answer may take, to allow for estimation errors.
-/// With 1.0, less work finished in time at 120% load (0.648 instead of 0.671 of the upper bound).
+/// With 1.0, less work finished in time at 120% load: 0.648 instead of 0.671 of the upper bound for
+/// an ideal schedule.
 const SAFETY_FACTOR: f64 = 0.8;
 
 /// Hang-up statistics for the callers of one profile.
@@ -53,14 +54,15 @@
     }
 
     /// Time in which a request should be answered, somewhat before most callers hang up. `None` if
-    /// there are too few hang-ups, if most callers wait longer, or if it is too short to refuse by.
+    /// there are too few hang-ups, if most callers wait longer, or if it is too short.
     #[must_use]
     pub fn wait_limit(&mut self, now: Instant) -> Option<Duration> {
         self.estimate(now)
             .filter(|_| self.mean_s >= MIN_WAIT_LIMIT_S)
     }
 
-    /// The same for limits that are too short to refuse by. Planning of target roles uses them.
+    /// The same for limits that are too short to refuse requests. The planning of target roles uses
+    /// them.
     #[must_use]
     pub fn short_wait_limit(&mut self, now: Instant) -> Option<Duration> {
         self.estimate(now)
--- a/components/request/src/outcomes.rs
+++ b/components/request/src/outcomes.rs
@@ -284,8 +284,8 @@
 /// Answer to store in the object store, if it is too large for the row.
 fn object_answer(run: &Run, key: String) -> Option<(StoredObject, Rc<RetainedBody>)> {
     let head = run.answer.head()?;
-    let kept = run.answer.share_retained()?;
-    if kept.bytes().len() <= ROW_ANSWER_LIMIT_BYTES {
+    let retained = run.answer.share_retained()?;
+    if retained.bytes().len() <= ROW_ANSWER_LIMIT_BYTES {
         return None;
     }
     let object = StoredObject {
@@ -294,10 +294,10 @@
         headers: head.headers.clone(),
         served_by: run.tried_targets.last().cloned().unwrap_or_default(),
         key,
-        length_bytes: kept.bytes().len() as u64,
-        digest: body_digest(kept.bytes()),
+        length_bytes: retained.bytes().len() as u64,
+        digest: body_digest(retained.bytes()),
     };
-    Some((object, kept))
+    Some((object, retained))
 }
 
 fn stored_replies(stored: &StoredAnswer) -> Vec<Reply> {
--- a/components/request/src/queue.rs
+++ b/components/request/src/queue.rs
@@ -10,9 +10,9 @@
 use crate::hang_ups::HangUpTracker;
 use crate::wait_estimate::WaitEstimator;
 
-/// Waiting time that raises the priority of a request by one level, so that long reads are not
-/// starved. A request of the lowest priority (9) reaches the highest (0) within the default
-/// deadline of 30 s.
+/// Waiting time that raises the priority of a request by one level, so that requests of low
+/// priority, such as those with long prompts, are not starved. A request of the lowest
+/// priority (9) reaches the highest (0) within the default deadline of 30 s.
 const AGING_INTERVAL_MS: Duration = Duration::from_secs(3);
 /// Minimum time between two searches for overdue requests. The estimate hardly changes faster, and
 /// each search reads the whole queue.
@@ -149,7 +149,8 @@
         limit.map_or(deadline, |limit| deadline.min(accepted + limit))
     }
 
-    /// Time until which the caller is expected to wait, if that is too short to refuse by.
+    /// Time until which the caller is expected to wait, if that wait is too short to be used as a
+    /// limit for refusals.
     #[must_use]
     pub fn waits_until(&mut self, now: Instant, accepted: Instant) -> Option<Instant> {
         self.hang_ups
--- a/components/request/src/router.rs
+++ b/components/request/src/router.rs
@@ -30,8 +30,8 @@
     pub prefixes: Vec<u64>,
     /// Time by which the complete answer is needed.
     pub deadline: Instant,
-    /// Time until which the caller is expected to wait, if that is too short to refuse requests by.
-    /// It is only used to plan the roles of targets.
+    /// Time until which the caller is expected to wait, if that wait is too short to be used as a
+    /// limit for refusals. It is only used to plan the roles of targets.
     pub expected_hang_up: Option<Instant>,
     /// Maximum number of concurrent requests of this entry at one target, from the profile.
     pub concurrency_limit: u32,
--- a/components/request/src/run.rs
+++ b/components/request/src/run.rs
@@ -60,7 +60,7 @@
     pub current_row: Option<Box<ClaimRow>>,
     /// The caller sent an `Idempotency-Key`, so resends can find the outcome.
     pub has_key: bool,
-    /// Number of times that the claim was resolved, up to a limit.
+    /// Number of times that the claim was resolved, up to `CLAIM_RESOLUTION_LIMIT`.
     pub resolutions: u32,
 }
 
--- a/components/request/src/wait_estimate.rs
+++ b/components/request/src/wait_estimate.rs
@@ -1,4 +1,5 @@
-//! Estimates the time to answer of a queued request from the departure rate and service times.
+//! Estimates the time until a queued request is answered, from the departure rate and service
+//! times.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,7 +14,8 @@
 const MAX_SAMPLE: Duration = Duration::from_mins(10);
 /// Number of mean deviations added to the mean service time. With fewer, requests that take longer
 /// than the mean are admitted and refused only after a wait: at 120% load, the 95th percentile of
-/// the time to a refusal was 3.2 s and 15 s at two sites with 2, and 0.1 s and 2.1 s with 4.
+/// the time to a refusal was 3.2 s and 15 s in simulations of two organisations with 2 deviations,
+/// and 0.1 s and 2.1 s with 4.
 const DEVIATION_FACTOR: f64 = 4.0;
 
 /// Departures per second of backlog, and service times of targets, as moving averages.
--- a/components/request/src/window.rs
+++ b/components/request/src/window.rs
@@ -1,4 +1,4 @@
-//! Counts the requests of a service, and their repeated calls, over a sliding window.
+//! Counts the requests of a service, and their retries, over a sliding window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 pub struct Counts {
     /// Number of requests.
     pub requests: u64,
-    /// Number of calls after the first call of each request.
+    /// Number of attempts after the first attempt of each request.
     pub retries: u64,
 }
 
--- a/components/request/tests/objects.rs
+++ b/components/request/tests/objects.rs
@@ -18,7 +18,7 @@
 use types::RefusalReason;
 use types::RunState;
 
-/// A run has ended at entry 0, which has been restarted since, and so have the agents.
+/// Cluster in which a run ended at entry 0 before that entry and both agents were restarted.
 fn answered_before_restarts() -> Cluster {
     let mut cluster = Cluster::new();
     cluster.submit(0, Some(LARGE_KEY), false);
--- a/components/request/tests/queueing.rs
+++ b/components/request/tests/queueing.rs
@@ -37,7 +37,7 @@
     seeded::check().quickcheck(property as fn(Vec<(u8, u8)>) -> bool);
 }
 
-/// Guards against long reads that are starved by a steady stream of more urgent requests.
+/// Guards against requests of low priority that are starved by a steady stream of more urgent ones.
 #[test]
 fn ages_the_lowest_priority_to_the_highest() {
     let start = Instant::now();
--- a/components/request/tests/retries.rs
+++ b/components/request/tests/retries.rs
@@ -118,8 +118,8 @@
     assert_eq!(entry.dispatched.len(), 3);
 }
 
-/// Guards against requests that wait for the retry budget until their deadline, because a single
-/// lost connection took more of their dispatches with it than the budget covers.
+/// Guards against requests that wait for the retry budget until their deadline, because more of
+/// their dispatches than the budget covers were lost with a single connection.
 #[test]
 fn sends_lost_dispatches_again_without_the_retry_budget() {
     const LOST: RequestId = 100;
