--- a/components/agent/src/admission.rs
+++ b/components/agent/src/admission.rs
@@ -349,8 +349,8 @@
             }
             None => {}
         }
-        // Only non-idempotent attempts are forbidden, so the idempotent history's watermarks do not
-        // apply.
+        // Entries send `Forbid` only for non-idempotent attempts, so the watermarks of the
+        // idempotent history do not apply.
         match self.lookup(id, false) {
             Lookup::Found(Record::Started) | Lookup::Evicted => ForbidOutcome::Lost,
             Lookup::Found(Record::Forbidden) | Lookup::New | Lookup::Superseded => {
--- a/components/agent/src/attempt.rs
+++ b/components/agent/src/attempt.rs
@@ -30,7 +30,7 @@
     Running,
     /// The answer is complete.
     Done(Usage),
-    /// It ran, and its answer was lost.
+    /// The request was sent to the target, and no complete answer is available.
     Failed(String),
 }
 
@@ -277,7 +277,7 @@
     }
 }
 
-/// Message for an attempt that ran and whose answer is unavailable.
+/// Message for an attempt that may have run and whose answer is unavailable.
 #[must_use]
 pub fn failed(attempt: AttemptId, detail: String) -> ToEntry {
     ToEntry::Failed {
--- a/components/agent/src/daemon/mod.rs
+++ b/components/agent/src/daemon/mod.rs
@@ -94,27 +94,28 @@
         .unwrap_or_default()
 }
 
-/// Serves until the process is asked to stop or loses the target.
+/// Serves until the process is asked to stop, another process registers for the target, or the
+/// target is withdrawn.
 ///
 /// # Errors
 ///
 /// The port is in use, another agent process has registered for the target, or the target was
 /// withdrawn.
-pub fn serve(parts: DaemonConfig) -> eyre::Result<()> {
+pub fn serve(config: DaemonConfig) -> eyre::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let run = serve_on(parts, executor.clone());
+    let run = serve_on(config, executor.clone());
     smol::block_on(executor.run(run))
 }
 
 async fn serve_on(
-    mut parts: DaemonConfig,
+    mut config: DaemonConfig,
     executor: Rc<LocalExecutor<'static>>,
 ) -> eyre::Result<()> {
-    let address = parts.listen;
+    let address = config.listen;
     let (listener, udp) = server::bind(address)?;
     let (exit, has_exited) = async_channel::bounded(1);
-    let reload = parts.reload.take();
-    let daemon = Rc::new(Daemon::new(parts, executor, udp, exit));
+    let reload = config.reload.take();
+    let daemon = Rc::new(Daemon::new(config, executor, udp, exit));
     signals::spawn(&daemon).wrap_err("cannot listen for signals")?;
     if let Some(reload) = reload {
         signals::spawn_reload(&daemon, reload).wrap_err("cannot listen for signals")?;
@@ -151,24 +152,24 @@
 
 impl Daemon {
     fn new(
-        parts: DaemonConfig,
+        config: DaemonConfig,
         executor: Rc<LocalExecutor<'static>>,
         udp: UdpSocket,
         exit: Sender<ExitReason>,
     ) -> Self {
         Self {
-            is_model: parts.limits.kind == types::ServiceKind::Model,
-            client: Client::new(parts.target, runs::client_limits(parts.limits.kind)),
-            agent: RefCell::new(Agent::new(parts.limits)),
+            is_model: config.limits.kind == types::ServiceKind::Model,
+            client: Client::new(config.target, runs::client_limits(config.limits.kind)),
+            agent: RefCell::new(Agent::new(config.limits)),
             executor,
             connections: Connections::default(),
             runs: Runs::default(),
-            keys: RefCell::new(parts.keys),
-            engine: EngineClient::new(parts.target),
-            table: parts.table,
-            weights: parts.weights,
+            keys: RefCell::new(config.keys),
+            engine: EngineClient::new(config.target),
+            table: config.table,
+            weights: config.weights,
             udp,
-            logger: RefCell::new(parts.logger),
+            logger: RefCell::new(config.logger),
             exit,
         }
     }
--- a/components/agent/src/daemon/runs.rs
+++ b/components/agent/src/daemon/runs.rs
@@ -27,8 +27,9 @@
 use crate::event::TargetEvent;
 use crate::state_machine::Agent;
 
-/// Maximum number of cache pieces in the request header, because the length of a head is limited.
-const CACHE_PIECE_LIMIT: usize = 128;
+/// Maximum number of prefix hashes in the `x-cache-pieces` field, because the length of a request
+/// head is limited.
+const PREFIX_LIMIT: usize = 128;
 /// Maximum number of idle connections to the target.
 const IDLE_CONNECTIONS: usize = 128;
 /// Timeout for runs that the state machine fails to end; it normally ends them by their deadline.
@@ -297,13 +298,13 @@
     request.insert_header("x-request-id", engine_request_id(attempt));
     request.insert_header("x-priority", priority.to_string());
     if daemon.is_model && !work.prefixes.is_empty() {
-        let pieces: Vec<String> = work
+        let prefixes: Vec<String> = work
             .prefixes
             .iter()
-            .take(CACHE_PIECE_LIMIT)
-            .map(|piece| format!("{piece:016x}"))
+            .take(PREFIX_LIMIT)
+            .map(|prefix| format!("{prefix:016x}"))
             .collect();
-        request.insert_header("x-cache-pieces", pieces.join(","));
+        request.insert_header("x-cache-pieces", prefixes.join(","));
     }
     if !work.body.is_empty() {
         request.set_body(work.body);
--- a/components/agent/src/daemon/start.rs
+++ b/components/agent/src/daemon/start.rs
@@ -26,7 +26,8 @@
 use crate::daemon::wall_ms;
 use crate::limits::Limits;
 
-/// Runs the agent until it is asked to stop or loses its target. `file` is read again on SIGHUP.
+/// Runs the agent until it is asked to stop, another process registers for the target, or the
+/// target is withdrawn. `file` is read again on SIGHUP.
 ///
 /// # Errors
 ///
--- a/components/agent/src/event.rs
+++ b/components/agent/src/event.rs
@@ -118,13 +118,14 @@
 /// Input of the state machine.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// An entry sent a probe. It sends hints about new orders while its head revision is not 0.
+    /// An entry sent a probe. The entry sends hints about new orders while `head` is not 0.
     EntryProbed {
         /// Incarnation of the probing entry.
         entry: Incarnation,
         /// Increases with every probe of the entry.
         sequence: u64,
-        /// Head revision, or 0 if the entry may have missed changes.
+        /// Latest revision of the change log that the entry has applied; 0 if it may have missed
+        /// changes.
         head: Revision,
     },
     /// The reloaded settings have a new limit for concurrent runs at the target.
--- a/components/agent/src/limits.rs
+++ b/components/agent/src/limits.rs
@@ -16,7 +16,8 @@
 /// A connection with an unfinished attempt is closed after this time without a frame; entries ping
 /// it every 500 ms.
 pub const SILENCE_LIMIT_MS: Duration = Duration::from_secs(2);
-/// The same for a connection without an unfinished attempt; entries ping it every minute.
+/// A connection without an unfinished attempt is closed after this time without a frame; entries
+/// ping it every minute.
 pub const IDLE_LIMIT_MS: Duration = Duration::from_mins(3);
 /// Poll interval of the engine's load and cache events.
 pub const LOAD_POLL_MS: Duration = Duration::from_millis(500);
--- a/components/agent/src/load.rs
+++ b/components/agent/src/load.rs
@@ -31,9 +31,11 @@
     pub loaded: LoadedModel,
     /// Number of the last executed order.
     pub applied: OrderNumber,
-    /// Rejects new work for good: drained, replaced, withdrawn, stopping or superseded.
+    /// New work is rejected because the target is drained, replaced or withdrawn, or because this
+    /// process is stopping or superseded.
     pub leaving: bool,
-    /// Rejects new work for now: in a change, unreachable or not yet registered.
+    /// New work is rejected because the target is not registered yet, or because its engine is
+    /// unreachable, in a change, or not in the recorded state.
     pub away: bool,
 }
 
--- a/components/agent/src/log_event.rs
+++ b/components/agent/src/log_event.rs
@@ -31,7 +31,7 @@
     },
     /// CS2005: the target row was released.
     Released,
-    /// CS2007: registration was refused for good.
+    /// CS2007: registration was refused permanently.
     RegistrationRefused {
         /// Cause, as text.
         detail: String,
--- a/components/agent/src/orders.rs
+++ b/components/agent/src/orders.rs
@@ -51,7 +51,7 @@
 /// Registration of this process for the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegistrationState {
-    /// Registered, or about to be.
+    /// Registered, or not registered yet.
     Active,
     /// The process is stopping; no new order is started.
     Stopping,
--- a/components/agent/src/target_row.rs
+++ b/components/agent/src/target_row.rs
@@ -33,16 +33,16 @@
 /// Result of a completed table call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowEvent {
-    /// No result for the caller.
+    /// Nothing to handle: the call was ignored, is still in progress, or will be retried.
     None,
     /// The order row was read. Holds the time at which the read began.
     Polled(Instant, Option<Order>),
-    /// The rows were read for a write; the caller must supply the update. Holds the current target
+    /// The rows were read for a write; [`TargetRow::commit`] must follow. Holds the current target
     /// row.
     WriteReady(Option<Box<Target>>),
     /// The update is committed. Holds the new target row, or `None` after a release.
     Written(Option<Box<Target>>),
-    /// Registration was refused for good.
+    /// Registration was refused permanently.
     Refused(String),
     /// Another agent process has registered for the target.
     Superseded(Incarnation),
@@ -191,8 +191,8 @@
                 self.registered = Some((*after).clone());
                 RowEvent::Written(Some(after))
             }
-            // Every change in the deployment moves the head, so conflicts are common; retries at
-            // once.
+            // Every change in the deployment moves the head revision, so conflicts are common; the
+            // write is retried at once.
             (Call::Commit(_), Ok(TableReply::Commit(CommitOutcome::Conflict(_)))) => RowEvent::None,
             (_, Ok(_)) => {
                 self.record_failure(now, "call", "unexpected type of reply".to_owned(), out);
--- a/components/entry/src/core/configuration.rs
+++ b/components/entry/src/core/configuration.rs
@@ -30,7 +30,7 @@
                     let operation = self.begin_call(Owner::Follower, operation);
                     actions.push(Action::Table { operation, request });
                 }
-                FollowerAction::RequestChanges { after } => self.ask_peer(after, actions),
+                FollowerAction::RequestChanges { after } => self.request_changes(after, actions),
                 FollowerAction::SendChanges { peer, answer } => {
                     actions.push(Action::SendChanges { peer, answer });
                 }
@@ -42,7 +42,7 @@
         }
     }
 
-    fn ask_peer(&mut self, after: u64, actions: &mut Vec<Action>) {
+    fn request_changes(&mut self, after: u64, actions: &mut Vec<Action>) {
         let peers = &self.options.peers;
         if peers.is_empty() {
             return;
--- a/components/entry/src/core/log_event.rs
+++ b/components/entry/src/core/log_event.rs
@@ -61,16 +61,16 @@
         /// Outcome, attempts, times and token usage.
         summary: Rc<Summary>,
     },
-    /// This entry acquired a lease.
+    /// This entry acquired the planning lease of a service.
     LeaseAcquired {
-        /// Service name.
+        /// Service that the lease permits to plan for.
         scope: String,
         /// Fencing number of the lease.
         fencing: u64,
     },
-    /// This entry lost or released a lease.
+    /// This entry lost or released the planning lease of a service.
     LeaseLost {
-        /// Service name.
+        /// Service that the lease permitted to plan for.
         scope: String,
     },
     /// The planner decided on an order, which is written next.
--- a/components/entry/src/core/share.rs
+++ b/components/entry/src/core/share.rs
@@ -21,11 +21,11 @@
 use types::TargetName;
 use types::TargetState;
 
-/// Entries that use a target whatever its rank. With only one, the loss of that entry would leave
-/// targets unused.
+/// Number of entries that have a target in their share whatever its rank there. With only one, the
+/// loss of that entry would leave targets unused.
 const MIN_ENTRIES_PER_TARGET: usize = 2;
-/// Targets of each data centre in the share, so that the others still have some after the loss of
-/// a data centre.
+/// Minimum number of targets of each data centre in the share, so that it still contains targets
+/// after the loss of any data centre.
 const MIN_TARGETS_PER_DATA_CENTRE: usize = 2;
 /// Time without a usable target before the share doubles, equal to the probe timeout.
 const WIDEN_MS: Duration = Duration::from_secs(2);
@@ -41,6 +41,7 @@
     score: u64,
 }
 
+/// All targets of one service, and the selection of them that is the share.
 #[derive(Debug, Default)]
 struct Pool {
     targets: BTreeMap<TargetName, RankedTarget>,
--- a/components/entry/src/core/traffic.rs
+++ b/components/entry/src/core/traffic.rs
@@ -34,7 +34,7 @@
     ) {
         let Some(service_config) = self.service_configs.get(&submission.work.service).cloned()
         else {
-            let reply = Reply::Refused(self.refusal_without_terms(&submission.work.service));
+            let reply = Reply::Refused(self.refusal_without_config(&submission.work.service));
             actions.push(Action::Reply { request, reply });
             return;
         };
@@ -48,7 +48,7 @@
 
     /// Refusal of a request to a service without a configuration.
     #[must_use]
-    pub fn refusal_without_terms(&self, service: &str) -> Refusal {
+    pub fn refusal_without_config(&self, service: &str) -> Refusal {
         if self.applied.is_none() {
             return Refusal {
                 reason: RefusalReason::NotReady,
@@ -93,13 +93,13 @@
                     actions.push(Action::Object { operation, request });
                 }
                 request::Action::Settled { request, summary } => {
-                    self.record_settled(request, summary, actions);
+                    self.record_summary(request, summary, actions);
                 }
             }
         }
     }
 
-    fn record_settled(&mut self, request: RequestId, summary: Summary, actions: &mut Vec<Action>) {
+    fn record_summary(&mut self, request: RequestId, summary: Summary, actions: &mut Vec<Action>) {
         let summary = Rc::new(summary);
         actions.push(Action::Log(LogEvent::RequestSettled {
             request,
--- a/components/entry/src/daemon/gateway.rs
+++ b/components/entry/src/daemon/gateway.rs
@@ -30,7 +30,7 @@
         let core = self.daemon.core.borrow();
         let service_config = core
             .service_config(service)
-            .ok_or_else(|| core.refusal_without_terms(service))?;
+            .ok_or_else(|| core.refusal_without_config(service))?;
         Ok(CallerLimits {
             kind: service_config.kind,
             body_limit_bytes: service_config.profile.body_limit_bytes,
--- a/components/entry/src/daemon/mod.rs
+++ b/components/entry/src/daemon/mod.rs
@@ -67,8 +67,8 @@
 /// claim cannot be written is refused before its deadline.
 const TABLE_CALL_TIMEOUT_MS: std::time::Duration = std::time::Duration::from_secs(3);
 
-/// Timeout without data from the object store within a call, as long as a resend waits for its
-/// answer.
+/// Timeout without data from the object store within a call. Equal to the time that a request sent
+/// again by its caller waits for the stored answer.
 const OBJECT_READ_TIMEOUT_MS: std::time::Duration = std::time::Duration::from_secs(5);
 /// Timeout of a call to the object store, enough for 1 MiB at 1 Mbit/s. Few calls run concurrently,
 /// so a store that sends data very slowly must not occupy them indefinitely.
--- a/components/entry/src/daemon/signals.rs
+++ b/components/entry/src/daemon/signals.rs
@@ -28,8 +28,8 @@
         Ok(Self { signals })
     }
 
-    /// Waits for a signal, calls `on_stop`, and returns when the balancer has had `notice_ms` to
-    /// notice. A second signal ends only that wait.
+    /// Waits for a signal, calls `on_stop`, and returns after `notice_ms`, in which the balancer
+    /// can detect the failing health check. A second signal ends only the wait for the balancer.
     pub async fn wait_for_stop(
         mut self,
         notice_ms: Duration,
